--- a/Libraries/Placement/placement.cpp
+++ b/Libraries/Placement/placement.cpp
@@ -6,8 +6,8 @@
 
 namespace amaranthhoist {
 
-/// Mixes the hashes of an object and a server; every bit of both counts. The
-/// constants are those of the splitmix64 generator.
+/// Mixes the hashes of an object and a server; every bit of both affects the
+/// result. The constants are those of the splitmix64 generator.
 static std::uint64_t mix(std::uint64_t Key, std::uint64_t Target) {
   std::uint64_t Value = Key ^ (Target + 0x9e3779b97f4a7c15U);
   Value = (Value ^ (Value >> 30)) * 0xbf58476d1ce4e5b9U;
@@ -15,48 +15,48 @@
   return Value ^ (Value >> 31);
 }
 
-bool isHome(std::span<const std::string> HomeRegions,
-            const std::string &Region) {
+bool isHomeRegion(std::span<const std::string> HomeRegions,
+                  const std::string &Region) {
   return HomeRegions.empty() ||
          std::find(HomeRegions.begin(), HomeRegions.end(), Region) !=
              HomeRegions.end();
 }
 
-/// The best few servers of one region by plain score.
+/// The highest-scoring servers of one region, by unweighted score.
 struct region_best {
-  std::array<target *, MaxPlaces> Targets{};
-  std::array<std::uint64_t, MaxPlaces> Scores{};
+  std::array<target *, MaxRankedTargets> Targets{};
+  std::array<std::uint64_t, MaxRankedTargets> Scores{};
   std::size_t Count = 0;
 };
 
 static void insert(region_best &Best, target *Target, std::uint64_t Score) {
-  std::size_t At = std::min(Best.Count, MaxPlaces - 1);
+  std::size_t At = std::min(Best.Count, MaxRankedTargets - 1);
   for (; At > 0 && Best.Scores[At - 1] < Score; --At) {
     Best.Scores[At] = Best.Scores[At - 1];
     Best.Targets[At] = Best.Targets[At - 1];
   }
   Best.Scores[At] = Score;
   Best.Targets[At] = Target;
-  Best.Count = std::min(Best.Count + 1, MaxPlaces);
+  Best.Count = std::min(Best.Count + 1, MaxRankedTargets);
 }
 
-/// The score that makes a server first with a chance in proportion to its
-/// weight (weighted rendezvous hashing).
+/// Weighted rendezvous hashing: with this score, a server ranks first with a
+/// probability in proportion to its weight.
 static double weightedScore(std::uint64_t Score, double Weight) {
   const double Point = (static_cast<double>(Score >> 11) + 0.5) * 0x1.0p-53;
   return -Weight / std::log(Point);
 }
 
-/// The score of the next server of a region that a merge hasn't taken yet; -1:
-/// there is none.
+/// The weighted score of the next server of a region that the merge has not
+/// consumed yet; -1 if there is none.
 static double nextScore(const region_best &Best, std::size_t Next,
                         double Weight) {
   return Next < Best.Count ? weightedScore(Best.Scores[Next], Weight) : -1;
 }
 
-/// Merges the regions' best into one ranking. Within a region the weight is the
-/// same for all, so the plain order holds there and only these few need a
-/// logarithm.
+/// Merges the best servers of the regions into one ranking. Within a region the
+/// weight is the same for all servers, so the unweighted order holds there and
+/// only these few need a logarithm.
 static ranking merge(std::span<const region_best> Regions,
                      std::span<const double> Weights) {
   ranking Ranking;
@@ -67,7 +67,7 @@
   std::vector<double> Scores(Regions.size());
   for (std::size_t Index = 0; Index < Regions.size(); ++Index)
     Scores[Index] = nextScore(Regions[Index], 0, WeightOf(Index));
-  while (Ranking.Count < MaxPlaces) {
+  while (Ranking.Count < MaxRankedTargets) {
     const auto Found = std::max_element(Scores.begin(), Scores.end());
     if (*Found < 0)
       break;
@@ -78,7 +78,7 @@
   return Ranking;
 }
 
-/// One more entry than there are regions, for servers of an unknown one.
+/// Has one more entry than there are regions, for servers of an unknown region.
 static std::vector<region_best> bestByRegion(const target_directory &Directory,
                                              std::span<target *const> Targets,
                                              const rank_request &Request,
@@ -87,21 +87,22 @@
   for (target *Target : Targets) {
     region_best &Best = Regions[Target->RegionIndex];
     const std::uint64_t Score = mix(Request.KeyHash, Target->Hash);
-    if (Best.Count == MaxPlaces && Score <= Best.Scores[MaxPlaces - 1])
+    if (Best.Count == MaxRankedTargets &&
+        Score <= Best.Scores[MaxRankedTargets - 1])
       continue;
     if (isUsable(Directory, *Target, Now) &&
-        isHome(Request.HomeRegions, Target->Region))
+        isHomeRegion(Request.HomeRegions, Target->Region))
       insert(Best, Target, Score);
   }
   return Regions;
 }
 
-place_rankings rankTargets(const target_directory &Directory,
-                           std::span<target *const> Targets,
-                           const rank_request &Request, instant Now) {
+candidate_rankings rankTargets(const target_directory &Directory,
+                               std::span<target *const> Targets,
+                               const rank_request &Request, instant Now) {
   const auto Regions = bestByRegion(Directory, Targets, Request, Now);
-  return {merge(Regions, Request.FirstWeights),
-          merge(Regions, Request.OverflowWeights)};
+  return {merge(Regions, Request.PrimaryWeights),
+          merge(Regions, Request.SecondaryWeights)};
 }
 
 } // namespace amaranthhoist
--- a/Libraries/Placement/placement.h
+++ b/Libraries/Placement/placement.h
@@ -1,6 +1,6 @@
-/// Where the work on an object belongs. All instances rank the servers of a
-/// service the same way for an object, without talking (rendezvous hashing),
-/// so that a server meets the same objects again while they are warm. A server
+/// Rendezvous hashing of objects to backend servers. All instances compute the
+/// same ranking of a service's servers for an object, without communication, so
+/// that a server receives the same objects while they are warm there. A server
 /// that joins or leaves moves only its own objects. Sans-I/O.
 #pragma once
 
@@ -14,44 +14,44 @@
 
 namespace amaranthhoist {
 
-/// The most servers that an object is ever ranked on.
-inline constexpr std::size_t MaxPlaces = 6;
+/// The maximum number of servers that an object is ranked on.
+inline constexpr std::size_t MaxRankedTargets = 6;
 
-/// The best servers for an object, best first.
+/// The highest-ranked servers for an object, best first.
 struct ranking {
-  std::array<target *, MaxPlaces> Targets{};
+  std::array<target *, MaxRankedTargets> Targets{};
   std::size_t Count = 0;
   [[nodiscard]] std::span<target *const> targets() const {
     return {Targets.data(), Count};
   }
 };
 
-/// An object's servers in the order of preference for its first place, and for
-/// the place that takes what the first has no room for.
-struct place_rankings {
-  ranking First;
-  ranking Overflow;
+/// An object's servers in order of preference for its primary, and for the
+/// secondary, which takes what the primary has no capacity for.
+struct candidate_rankings {
+  ranking Primary;
+  ranking Secondary;
 };
 
-/// What the rankings of an object depend on beside the servers. Weights are by
-/// region: a server with twice the weight is first for twice as many objects;
-/// empty: all alike.
+/// Inputs of an object's rankings other than the servers. Weights are by
+/// region: a server with twice the weight ranks first for twice as many
+/// objects. Empty weights: all regions are equal.
 struct rank_request {
   std::uint64_t KeyHash = 0;
-  /// Servers elsewhere aren't ranked; empty: all are.
+  /// Only servers in these regions are ranked; empty: all are.
   std::span<const std::string> HomeRegions;
-  std::span<const double> FirstWeights;
-  std::span<const double> OverflowWeights;
+  std::span<const double> PrimaryWeights;
+  std::span<const double> SecondaryWeights;
 };
 
-/// Whether work with these home regions may go to \p Region; with none it may
-/// go anywhere.
-bool isHome(std::span<const std::string> HomeRegions,
-            const std::string &Region);
+/// Whether work with these home regions may run in \p Region; without home
+/// regions it may run anywhere.
+bool isHomeRegion(std::span<const std::string> HomeRegions,
+                  const std::string &Region);
 
-/// Ranks the usable servers among \p Targets for both places.
-place_rankings rankTargets(const target_directory &Directory,
-                           std::span<target *const> Targets,
-                           const rank_request &Request, instant Now);
+/// Ranks the usable servers among \p Targets for primary and secondary.
+candidate_rankings rankTargets(const target_directory &Directory,
+                               std::span<target *const> Targets,
+                               const rank_request &Request, instant Now);
 
 } // namespace amaranthhoist
--- a/Libraries/Placement/region_weights.h
+++ b/Libraries/Placement/region_weights.h
@@ -1,7 +1,8 @@
-/// How strongly an instance prefers the servers of each region for a service.
-/// Every region asks mostly for objects of its own; doing their work there
-/// saves bytes and time between regions, as far as the region's servers reach.
-/// What goes beyond goes to regions with slots to spare. Sans-I/O.
+/// The weight that an instance gives to the servers of each region for a
+/// service. Every region mostly requests objects of its own; processing them in
+/// the region saves bytes and latency between regions, as far as the capacity
+/// of its servers allows. Work beyond that goes to regions with spare slots.
+/// Sans-I/O.
 #pragma once
 
 #include <cstddef>
@@ -10,15 +11,15 @@
 
 namespace amaranthhoist {
 
-/// Weights of the regions' servers for work that region \p Own asks for.
-/// \p Slots are the slots of the service by region. \p Locality goes from 0,
-/// all servers alike, to 1, work stays where it is asked for as long as it fits
-/// if all regions ask for the same amount.
+/// Weights of the regions' servers for work requested in region \p Own. \p
+/// Slots are the service's slots by region. \p Locality ranges from 0, where
+/// all servers are weighted alike, to 1, where work stays in its region as long
+/// as it fits if all regions request the same amount.
 std::vector<double> regionWeights(std::span<const double> Slots,
                                   std::size_t Own, double Locality);
 
 /// The share, 0 to 1, of its own work that region \p Own has slots for if all
-/// regions ask for the same amount.
+/// regions request the same amount.
 double ownCoverage(std::span<const double> Slots, std::size_t Own);
 
 } // namespace amaranthhoist
--- a/Libraries/Quarantine/quarantine.cpp
+++ b/Libraries/Quarantine/quarantine.cpp
@@ -41,22 +41,24 @@
          isQuarantined(Quarantine.Policy, Found->second);
 }
 
-/// From the last crash to the next trial.
-static duration trialDelay(const quarantine_policy &Policy,
-                           std::size_t Crashes) {
-  duration Delay = Policy.FirstTrial;
+/// Delay from the last crash to the next trial.
+static duration delayToTrial(const quarantine_policy &Policy,
+                             std::size_t Crashes) {
+  duration Delay = Policy.FirstTrialDelay;
   for (std::size_t Trial = Policy.CrashesAllowed; Trial < Crashes; ++Trial)
-    Delay = std::min(Delay * Policy.TrialGrowth, Policy.LongestTrial);
+    Delay = std::min(Delay * Policy.TrialDelayFactor, Policy.MaxTrialDelay);
   return Delay;
 }
 
-static duration lifeOf(const quarantine_policy &Policy, std::size_t Crashes) {
-  return std::max(Policy.RecordLife,
-                  Policy.RecordLifeInTrials * trialDelay(Policy, Crashes));
+static duration recordLifetime(const quarantine_policy &Policy,
+                               std::size_t Crashes) {
+  return std::max(Policy.RecordLifetime, Policy.RecordLifetimeInTrials *
+                                             delayToTrial(Policy, Crashes));
 }
 
-/// Makes room for one more record: the one that says least goes, the oldest of
-/// several. A new suspicion never displaces a quarantined content.
+/// Makes room for one more record by evicting the record with the fewest
+/// crashes, the oldest of several. A new suspicion never displaces a
+/// quarantined content.
 static bool makeRoom(quarantine &Quarantine, std::size_t NewCrashes) {
   if (Quarantine.Records.size() < Quarantine.Policy.MaxRecords)
     return true;
@@ -75,9 +77,11 @@
   return true;
 }
 
-/// The record of a content, made if need be; none when there is no room.
-static crash_record *recordOf(quarantine &Quarantine, std::uint64_t Content,
-                              std::size_t NewCrashes) {
+/// Finds or creates the record of a content; returns nullptr if there is no
+/// room.
+static crash_record *findOrCreateRecord(quarantine &Quarantine,
+                                        std::uint64_t Content,
+                                        std::size_t NewCrashes) {
   auto Found = Quarantine.Records.find(Content);
   if (Found != Quarantine.Records.end())
     return &Found->second;
@@ -88,23 +92,26 @@
   return &Quarantine.Records[Content];
 }
 
-static sound_answer &soundPlace(quarantine &Quarantine, std::uint64_t Content) {
-  return Quarantine.Sound[Content % Quarantine.Sound.size()];
+static valid_response &validResponseSlot(quarantine &Quarantine,
+                                         std::uint64_t Content) {
+  return Quarantine.ValidResponses[Content % Quarantine.ValidResponses.size()];
 }
 
-/// Whether the content was answered soundly after \p CrashAt or shortly before.
-static bool wasAnswered(quarantine &Quarantine, std::uint64_t Content,
-                        instant CrashAt) {
-  const sound_answer &Answer = soundPlace(Quarantine, Content);
-  return Answer.Content == Content && Answer.At != instant() &&
-         CrashAt < Answer.At + Quarantine.Policy.SoundTime;
+/// Whether the content received a valid response after \p CrashAt or shortly
+/// before.
+static bool hasValidResponse(quarantine &Quarantine, std::uint64_t Content,
+                             instant CrashAt) {
+  const valid_response &Response = validResponseSlot(Quarantine, Content);
+  return Response.Content == Content && Response.At != instant() &&
+         CrashAt < Response.At + Quarantine.Policy.ValidResponseWindow;
 }
 
-/// Marks a record as changed, for those that are to know of it.
-static void markAsNews(const quarantine_policy &Policy, crash_record &Record) {
+/// Schedules a changed record for sending to the instances that need it.
+static void scheduleSends(const quarantine_policy &Policy,
+                          crash_record &Record) {
   Record.IsForAll = Record.IsForAll || isQuarantined(Policy, Record);
-  Record.NewsLeft =
-      Record.IsForAll ? Policy.NewsMessages : Policy.SuspicionRepeats;
+  Record.PendingSends =
+      Record.IsForAll ? Policy.AnnouncementMessages : Policy.SuspicionSends;
 }
 
 static void voidCrashes(crash_record &Record, instant Now) {
@@ -113,7 +120,7 @@
   Record.ChangedAt = Now;
 }
 
-/// Adds servers to those that crashed; whether there was a new one.
+/// Adds crashed servers to the record; returns whether any was new.
 static bool addServers(crash_record &Record,
                        std::span<const std::uint64_t> Servers) {
   std::vector<std::uint64_t> All;
@@ -138,53 +145,54 @@
 std::optional<quarantine_change> noteCrash(quarantine &Quarantine,
                                            std::uint64_t Content,
                                            std::uint64_t Server, instant Now) {
-  if (wasAnswered(Quarantine, Content, Now))
+  if (hasValidResponse(Quarantine, Content, Now))
     return std::nullopt;
-  crash_record *Record = recordOf(Quarantine, Content, 1);
+  crash_record *Record = findOrCreateRecord(Quarantine, Content, 1);
   if (!Record)
     return std::nullopt;
   const bool Was = isQuarantined(Quarantine.Policy, *Record);
   if (addServers(*Record, {&Server, 1}))
-    markAsNews(Quarantine.Policy, *Record);
+    scheduleSends(Quarantine.Policy, *Record);
   Record->ChangedAt = Now;
   return changeOf(Quarantine, Content, Was);
 }
 
 std::optional<quarantine_change>
 noteSoundAnswer(quarantine &Quarantine, std::uint64_t Content, instant Now) {
-  soundPlace(Quarantine, Content) = {Content, Now};
+  validResponseSlot(Quarantine, Content) = {Content, Now};
   auto Found = Quarantine.Records.find(Content);
   if (Found == Quarantine.Records.end() || Found->second.Servers.empty())
     return std::nullopt;
   const bool Was = isQuarantined(Quarantine.Policy, Found->second);
   voidCrashes(Found->second, Now);
-  markAsNews(Quarantine.Policy, Found->second);
+  scheduleSends(Quarantine.Policy, Found->second);
   return changeOf(Quarantine, Content, Was);
 }
 
 static instant nextTrial(const quarantine_policy &Policy,
                          const crash_record &Record) {
-  return std::max(Record.ChangedAt + trialDelay(Policy, Record.Servers.size()),
-                  Record.TriedAt + Policy.FirstTrial);
+  return std::max(Record.ChangedAt +
+                      delayToTrial(Policy, Record.Servers.size()),
+                  Record.TriedAt + Policy.FirstTrialDelay);
 }
 
-bool mayBeSent(const quarantine &Quarantine, std::uint64_t Content,
-               bool MakesTrials, instant Now) {
+bool isAdmitted(const quarantine &Quarantine, std::uint64_t Content,
+                bool SendsTrials, instant Now) {
   auto Found = Quarantine.Records.find(Content);
   if (Found == Quarantine.Records.end() ||
       !isQuarantined(Quarantine.Policy, Found->second))
     return true;
-  return MakesTrials && Now >= nextTrial(Quarantine.Policy, Found->second);
+  return SendsTrials && Now >= nextTrial(Quarantine.Policy, Found->second);
 }
 
-void noteTrial(quarantine &Quarantine, std::uint64_t Content, instant Now) {
+void recordTrial(quarantine &Quarantine, std::uint64_t Content, instant Now) {
   auto Found = Quarantine.Records.find(Content);
   if (Found != Quarantine.Records.end())
     Found->second.TriedAt = Now;
 }
 
-duration untilTrial(const quarantine &Quarantine, std::uint64_t Content,
-                    instant Now) {
+duration timeUntilTrial(const quarantine &Quarantine, std::uint64_t Content,
+                        instant Now) {
   auto Found = Quarantine.Records.find(Content);
   if (Found == Quarantine.Records.end() ||
       !isQuarantined(Quarantine.Policy, Found->second))
@@ -197,7 +205,7 @@
   std::erase_if(Quarantine.Records, [&](const auto &Entry) {
     const crash_record &Record = Entry.second;
     return Now - Record.ChangedAt >=
-           lifeOf(Quarantine.Policy, Record.Servers.size());
+           recordLifetime(Quarantine.Policy, Record.Servers.size());
   });
 }
 
@@ -216,71 +224,76 @@
           Now - Record.ChangedAt, Record.IsForAll};
 }
 
-/// Takes up to \p Wanted from what may be told in the present second.
-static std::size_t takeFromRate(telling_rate &Rate, int PerSecond,
+/// Acquires up to \p Wanted sends from the rate limit of the current second.
+static std::size_t acquireSends(send_rate &Rate, int PerSecond,
                                 std::size_t Wanted, instant Now) {
-  if (Now - Rate.Second >= std::chrono::seconds(1))
+  if (Now - Rate.WindowStart >= std::chrono::seconds(1))
     Rate = {Now, 0};
-  const auto Left = static_cast<std::size_t>(PerSecond - Rate.Told);
+  const auto Left = static_cast<std::size_t>(PerSecond - Rate.Sent);
   const std::size_t Taken = std::min(Wanted, Left);
-  Rate.Told += static_cast<int>(Taken);
+  Rate.Sent += static_cast<int>(Taken);
   return Taken;
 }
 
-static std::vector<record_entry> findNews(quarantine &Quarantine,
-                                          bool IsForAll) {
-  std::vector<record_entry> News;
+static std::vector<record_entry> findPending(quarantine &Quarantine,
+                                             bool IsForAll) {
+  std::vector<record_entry> Pending;
   for (auto Entry = Quarantine.Records.begin();
        Entry != Quarantine.Records.end(); ++Entry)
-    if (Entry->second.NewsLeft > 0 && Entry->second.IsForAll == IsForAll)
-      News.push_back(Entry);
-  return News;
-}
-
-/// Reports the most urgent of \p News: those nearest to a quarantine, then the
-/// latest, since older ones only wait when there are more than can be told.
-static std::vector<crash_report> tell(std::vector<record_entry> News,
-                                      std::size_t Count, instant Now) {
-  const auto End =
-      News.begin() + static_cast<std::ptrdiff_t>(std::min(News.size(), Count));
-  std::partial_sort(
-      News.begin(), End, News.end(), [](record_entry Left, record_entry Right) {
-        const crash_record &First = Left->second;
-        const crash_record &Second = Right->second;
-        return std::tuple(First.Servers.size(), First.ChangedAt) >
-               std::tuple(Second.Servers.size(), Second.ChangedAt);
-      });
+    if (Entry->second.PendingSends > 0 && Entry->second.IsForAll == IsForAll)
+      Pending.push_back(Entry);
+  return Pending;
+}
+
+/// Creates reports for the most urgent records in \p Pending: those with the
+/// most crashes first, then the latest, since older ones still wait only if
+/// more are pending than may be sent.
+static std::vector<crash_report>
+makeUrgentReports(std::vector<record_entry> Pending, std::size_t Count,
+                  instant Now) {
+  const auto End = Pending.begin() +
+                   static_cast<std::ptrdiff_t>(std::min(Pending.size(), Count));
+  std::partial_sort(Pending.begin(), End, Pending.end(),
+                    [](record_entry Left, record_entry Right) {
+                      const crash_record &First = Left->second;
+                      const crash_record &Second = Right->second;
+                      return std::tuple(First.Servers.size(), First.ChangedAt) >
+                             std::tuple(Second.Servers.size(),
+                                        Second.ChangedAt);
+                    });
   std::vector<crash_report> Reports;
-  for (auto Entry = News.begin(); Entry != End; ++Entry) {
-    --(*Entry)->second.NewsLeft;
+  for (auto Entry = Pending.begin(); Entry != End; ++Entry) {
+    --(*Entry)->second.PendingSends;
     Reports.push_back(makeReport(*Entry, Now));
   }
   return Reports;
 }
 
 std::vector<crash_report> reportNews(quarantine &Quarantine, instant Now) {
-  auto News = findNews(Quarantine, /*IsForAll=*/true);
+  auto Pending = findPending(Quarantine, /*IsForAll=*/true);
   const quarantine_policy &Policy = Quarantine.Policy;
-  if (News.empty() ||
-      takeFromRate(Quarantine.News, Policy.NewsMessagesPerSecond, 1, Now) == 0)
+  if (Pending.empty() ||
+      acquireSends(Quarantine.AnnouncementRate, Policy.AnnouncementsPerSecond,
+                   1, Now) == 0)
     return {};
-  return tell(std::move(News), Policy.MaxReportsOfNews, Now);
+  return makeUrgentReports(std::move(Pending), Policy.MaxReportsPerAnnouncement,
+                           Now);
 }
 
 std::vector<crash_report> reportSuspicions(quarantine &Quarantine,
                                            instant Now) {
-  auto News = findNews(Quarantine, /*IsForAll=*/false);
+  auto Pending = findPending(Quarantine, /*IsForAll=*/false);
   const std::size_t Count =
-      takeFromRate(Quarantine.Suspicions, Quarantine.Policy.SuspicionsPerSecond,
-                   News.size(), Now);
-  return tell(std::move(News), Count, Now);
+      acquireSends(Quarantine.SuspicionRate,
+                   Quarantine.Policy.SuspicionsPerSecond, Pending.size(), Now);
+  return makeUrgentReports(std::move(Pending), Count, Now);
 }
 
 std::vector<crash_report> reportInTurn(quarantine &Quarantine, instant Now) {
   std::vector<crash_report> Reports;
-  auto Entry = Quarantine.Records.lower_bound(Quarantine.NextShared);
+  auto Entry = Quarantine.Records.lower_bound(Quarantine.PiggybackCursor);
   for (std::size_t Left = Quarantine.Records.size();
-       Left > 0 && Reports.size() < Quarantine.Policy.MaxReportsInTurn;
+       Left > 0 && Reports.size() < Quarantine.Policy.MaxPiggybackedReports;
        --Left) {
     if (Entry == Quarantine.Records.end())
       Entry = Quarantine.Records.begin();
@@ -288,11 +301,12 @@
       Reports.push_back(makeReport(Entry, Now));
     ++Entry;
   }
-  Quarantine.NextShared = Entry == Quarantine.Records.end() ? 0 : Entry->first;
+  Quarantine.PiggybackCursor =
+      Entry == Quarantine.Records.end() ? 0 : Entry->first;
   return Reports;
 }
 
-/// Whether a report can have come from a sound instance.
+/// Whether a report can originate from a correct instance.
 static bool isPlausible(const crash_report &Report) {
   return Report.Servers.size() <= MaxCrashedServers &&
          Report.Age >= duration::zero() &&
@@ -300,8 +314,9 @@
                             std::greater_equal<>()) == Report.Servers.end();
 }
 
-/// Merges a report into a record; whether that changed it. Of two generations
-/// the later one holds, of one generation the crashes of both.
+/// Merges a report into a record; returns whether the record changed. The later
+/// generation replaces the earlier one; within one generation the crashes are
+/// combined.
 static bool merge(crash_record &Record, const crash_report &Report,
                   instant ChangedAt) {
   if (Report.Generation < Record.Generation)
@@ -317,23 +332,25 @@
 }
 
 static std::optional<quarantine_change>
-takeReport(quarantine &Quarantine, const crash_report &Report, instant Now) {
+applyReport(quarantine &Quarantine, const crash_report &Report, instant Now) {
   const std::size_t Crashes = Report.Servers.size();
-  if (!isPlausible(Report) || Report.Age >= lifeOf(Quarantine.Policy, Crashes))
+  if (!isPlausible(Report) ||
+      Report.Age >= recordLifetime(Quarantine.Policy, Crashes))
     return std::nullopt;
-  crash_record *Record = recordOf(Quarantine, Report.Content, Crashes);
+  crash_record *Record =
+      findOrCreateRecord(Quarantine, Report.Content, Crashes);
   if (!Record)
     return std::nullopt;
   const bool Was = isQuarantined(Quarantine.Policy, *Record);
-  bool IsNews = merge(*Record, Report, Now - Report.Age);
+  bool HasChanged = merge(*Record, Report, Now - Report.Age);
   Record->IsForAll = Record->IsForAll || Report.IsForAll;
   if (!Record->Servers.empty() &&
-      wasAnswered(Quarantine, Report.Content, Record->ChangedAt)) {
+      hasValidResponse(Quarantine, Report.Content, Record->ChangedAt)) {
     voidCrashes(*Record, Now);
-    IsNews = true;
+    HasChanged = true;
   }
-  if (IsNews)
-    markAsNews(Quarantine.Policy, *Record);
+  if (HasChanged)
+    scheduleSends(Quarantine.Policy, *Record);
   return changeOf(Quarantine, Report.Content, Was);
 }
 
@@ -342,7 +359,7 @@
             instant Now) {
   std::vector<quarantine_change> Changes;
   for (const crash_report &Report : Reports)
-    if (const auto Change = takeReport(Quarantine, Report, Now))
+    if (const auto Change = applyReport(Quarantine, Report, Now))
       Changes.push_back(*Change);
   return Changes;
 }
--- a/Libraries/Quarantine/quarantine.h
+++ b/Libraries/Quarantine/quarantine.h
@@ -1,17 +1,17 @@
-/// Requests that crash the backend servers which run them ("queries of death").
-/// Such a request comes again, at any instance, and takes one server after the
-/// other. So instances count by content under which request servers crashed,
-/// tell each other, and refuse a content after its third crash.
+/// Quarantine of request contents that crash the backend servers which run them
+/// ("queries of death"). Such a request returns, at any instance, and crashes
+/// one server after the other. Instances therefore count crashes by request
+/// content, exchange the counts, and refuse a content after its third crash.
 ///
-/// Every request that was at a crashed server leaves a suspicion, most of them
-/// of harmless contents. A suspicion is told only to the two instances where
-/// its content is counted; a quarantine, and its end, to all.
+/// Every request in flight at a crashed server raises a suspicion, most of them
+/// of harmless contents. A suspicion is sent only to the two instances that
+/// count the content; a quarantine, and its end, is announced to all.
 ///
-/// A content is only known by its crashes, and a page that everybody asks for
-/// is under way at every server that goes down. What tells them apart is that
-/// the page is answered: a sound answer voids what was counted before it. A
-/// quarantined content gets a trial now and then, at one instance, so that one
-/// that was quarantined wrongly comes back. Sans-I/O.
+/// A content is identified only by its crashes, and a popular page is in flight
+/// at every server that fails. The page differs in that it receives responses:
+/// a valid response voids the crashes counted before it. One instance sends a
+/// trial request with a quarantined content from time to time, so that a
+/// content that was quarantined wrongly is released. Sans-I/O.
 #pragma once
 
 #include "Core/core.h"
@@ -28,96 +28,99 @@
 
 namespace amaranthhoist {
 
-/// What a request asks a server to do; the same for every attempt of a caller
-/// and at every instance.
+/// The content of a request; the same for every attempt of a caller and at
+/// every instance.
 struct request_content {
   std::string_view Method;
   std::string_view Host;
   /// Path and query.
   std::string_view Target;
   std::string_view ObjectKey;
-  /// What the caller proves its identity with; empty: nothing.
+  /// The caller's credentials; empty if there are none.
   std::string_view Credentials;
   std::string_view Body;
 };
 
-/// Names a content between instances and in logs, without showing it: bodies
-/// and keys are the callers'.
+/// Fingerprint that identifies a content between instances and in logs without
+/// disclosing it: bodies and keys belong to the callers.
 std::uint64_t contentHash(const request_content &Content);
 
-/// A content's hash as it stands in logs.
+/// The text form of a content's hash in logs.
 std::string contentName(std::uint64_t Content);
 
 struct quarantine_policy {
-  /// A content is refused from this many servers on that crashed under it.
+  /// A content is refused once this many servers have crashed while running it.
   std::size_t CrashesAllowed = 3;
-  /// A sound answer voids crashes that happen less than this after it.
-  duration SoundTime = std::chrono::seconds(10);
-  /// From the last crash to a trial, multiplied with each trial that crashes
-  /// its server.
-  duration FirstTrial = std::chrono::seconds(30);
-  duration LongestTrial = std::chrono::hours(1);
-  int TrialGrowth = 4;
-  /// A record that nothing happens to is forgotten after this long, or after
-  /// this many times the span between trials if that is longer.
-  duration RecordLife = std::chrono::minutes(10);
-  int RecordLifeInTrials = 4;
-  /// Whoever may send requests decides what is recorded.
+  /// A valid response voids crashes that occur less than this after it.
+  duration ValidResponseWindow = std::chrono::seconds(10);
+  /// Delay from the last crash to the first trial, multiplied by the factor for
+  /// each trial that crashes its server.
+  duration FirstTrialDelay = std::chrono::seconds(30);
+  duration MaxTrialDelay = std::chrono::hours(1);
+  int TrialDelayFactor = 4;
+  /// A record without changes is evicted after this long, or after this many
+  /// times the delay between trials if that is longer.
+  duration RecordLifetime = std::chrono::minutes(10);
+  int RecordLifetimeInTrials = 4;
+  /// Bounds memory: callers control how many distinct contents are recorded.
   std::size_t MaxRecords = 256;
-  /// Messages that carry a changed quarantine at once; after that it travels
-  /// with those that are sent anyway.
-  int NewsMessages = 6;
-  /// How often a changed suspicion is told to each instance that counts it.
-  int SuspicionRepeats = 1;
-  /// The next four bound the bytes of control.
-  int NewsMessagesPerSecond = 4;
+  /// Number of messages that announce a changed quarantine at once; after that
+  /// it is piggybacked on messages that are sent anyway.
+  int AnnouncementMessages = 6;
+  /// How often a changed suspicion is sent to each instance that counts it.
+  int SuspicionSends = 1;
+  /// The next four bound the bytes of control traffic.
+  int AnnouncementsPerSecond = 4;
   int SuspicionsPerSecond = 4;
-  std::size_t MaxReportsOfNews = 4;
-  std::size_t MaxReportsInTurn = 2;
+  std::size_t MaxReportsPerAnnouncement = 4;
+  std::size_t MaxPiggybackedReports = 2;
 };
 
-/// Instances that count the crashes of a content: the second one goes on when
-/// the first one is lost.
+/// Number of instances that count the crashes of a content: the second
+/// continues if the first is lost.
 inline constexpr std::size_t CountingInstances = 2;
 
-/// Servers named in a record: those that quarantine it, and trials.
+/// Maximum number of servers in a record: those that caused the quarantine, and
+/// trials.
 inline constexpr std::size_t MaxCrashedServers = 8;
 
-/// What is known of one content.
+/// Crash record of one content.
 struct crash_record {
-  /// Raised by a sound answer, which voids what was counted before it.
+  /// Incremented by a valid response, which voids the crashes counted before
+  /// it.
   std::uint32_t Generation = 0;
-  /// Hashes of the server starts that crashed under it, ascending.
+  /// Hashes of the server incarnations that crashed while running it,
+  /// ascending.
   std::vector<std::uint64_t> Servers;
-  /// Of its last crash, or of the answer that voided them.
+  /// Time of the last crash, or of the response that voided the crashes.
   instant ChangedAt{};
-  /// It is quarantined, or was when its crashes were voided.
+  /// The content is quarantined, or was when its crashes were voided.
   bool IsForAll = false;
-  /// Of the last trial of this instance.
+  /// Time of the last trial by this instance.
   instant TriedAt{};
-  /// Messages that still carry it as news.
-  int NewsLeft = 0;
+  /// Number of messages that still have to carry this record.
+  int PendingSends = 0;
 };
 
-/// One record as instances tell it each other.
+/// A crash record as exchanged between instances.
 struct crash_report {
   std::uint64_t Content = 0;
   std::uint32_t Generation = 0;
   std::vector<std::uint64_t> Servers;
-  /// Since its last change.
+  /// Time since the record's last change.
   duration Age{};
-  /// Meant for all instances, and not just for those that count it.
+  /// Addressed to all instances, not only to those that count the content.
   bool IsForAll = false;
 };
 
-/// Bounds how often something is told.
-struct telling_rate {
-  instant Second{};
-  int Told = 0;
+/// Rate limit for sending reports.
+struct send_rate {
+  instant WindowStart{};
+  int Sent = 0;
 };
 
-/// A content that was answered soundly.
-struct sound_answer {
+/// A content that received a valid response.
+struct valid_response {
   std::uint64_t Content = 0;
   instant At{};
 };
@@ -126,70 +129,73 @@
   quarantine_policy Policy;
   /// By content.
   std::map<std::uint64_t, crash_record> Records;
-  /// Contents that were answered lately, each at the place of its hash; a later
-  /// one displaces an earlier one there.
-  std::array<sound_answer, 1'024> Sound{};
-  /// Crashes that found no room among the records.
+  /// Contents that recently received a valid response, in a table indexed by
+  /// hash; a later entry replaces an earlier one in the same slot.
+  std::array<valid_response, 1'024> ValidResponses{};
+  /// Crashes that were not recorded because the records were full.
   std::uint64_t LeftOut = 0;
-  /// Where the next message goes on among the records.
-  std::uint64_t NextShared = 0;
-  telling_rate News;
-  telling_rate Suspicions;
+  /// Content at which the next piggybacked message continues in the records.
+  std::uint64_t PiggybackCursor = 0;
+  send_rate AnnouncementRate;
+  send_rate SuspicionRate;
 };
 
-/// A content that was put under quarantine, or released.
+/// A content that was quarantined or released.
 struct quarantine_change {
   std::uint64_t Content = 0;
   bool IsQuarantined = false;
   std::size_t Crashes = 0;
 };
 
-/// Names one start of a server between instances.
+/// Identifies one incarnation of a server between instances.
 std::uint64_t serverStartHash(std::string_view Id, std::int64_t StartedAtMs);
 
-/// Counts a server that crashed while a request with that content was there.
+/// Records the crash of a server while a request with that content was in
+/// flight there.
 std::optional<quarantine_change> noteCrash(quarantine &Quarantine,
                                            std::uint64_t Content,
                                            std::uint64_t Server, instant Now);
 
-/// A server ran a request with that content to a sound answer.
+/// Records that a server ran a request with that content to a valid response.
 std::optional<quarantine_change>
 noteSoundAnswer(quarantine &Quarantine, std::uint64_t Content, instant Now);
 
 bool isQuarantined(const quarantine &Quarantine, std::uint64_t Content);
 
-/// Whether a request with that content may go to a server now. \p MakesTrials:
-/// this is the one instance that tries the content while it is quarantined.
-bool mayBeSent(const quarantine &Quarantine, std::uint64_t Content,
-               bool MakesTrials, instant Now);
+/// Whether a request with that content may be sent to a server now. \p
+/// SendsTrials: this is the one instance that sends trials while the content is
+/// quarantined.
+bool isAdmitted(const quarantine &Quarantine, std::uint64_t Content,
+                bool SendsTrials, instant Now);
 
-/// Counts a request that is sent although its content is quarantined.
-void noteTrial(quarantine &Quarantine, std::uint64_t Content, instant Now);
+/// Records a request that is sent although its content is quarantined.
+void recordTrial(quarantine &Quarantine, std::uint64_t Content, instant Now);
 
-/// How long until a quarantined content is tried again; zero: at once, or it
-/// isn't quarantined.
-duration untilTrial(const quarantine &Quarantine, std::uint64_t Content,
-                    instant Now);
+/// Time until the next trial of a quarantined content; zero if the trial is due
+/// or the content is not quarantined.
+duration timeUntilTrial(const quarantine &Quarantine, std::uint64_t Content,
+                        instant Now);
 
-/// Forgets records whose time is over.
+/// Evicts expired records.
 void forgetOldRecords(quarantine &Quarantine, instant Now);
 
-/// Contents under quarantine.
+/// Number of contents under quarantine.
 std::size_t countQuarantined(const quarantine &Quarantine);
 
-/// Reports for a message of their own to any other instance, because a
-/// quarantine began or ended; empty: none is due.
+/// Reports for a dedicated message to any other instance, because a quarantine
+/// began or ended; empty if none is due.
 std::vector<crash_report> reportNews(quarantine &Quarantine, instant Now);
 
-/// Reports of suspicions that changed, each for the instances that count its
+/// Reports of changed suspicions, each for the instances that count its
 /// content.
 std::vector<crash_report> reportSuspicions(quarantine &Quarantine, instant Now);
 
-/// Reports for a message that is sent anyway: all quarantines in turn, so that
-/// instances that missed news or have just started learn them.
+/// Reports to piggyback on a message that is sent anyway: all quarantines in
+/// round-robin order (anti-entropy), so that instances that missed
+/// announcements or have just started receive them.
 std::vector<crash_report> reportInTurn(quarantine &Quarantine, instant Now);
 
-/// Takes in what another instance tells.
+/// Applies the reports of another instance.
 std::vector<quarantine_change>
 takeReports(quarantine &Quarantine, std::span<const crash_report> Reports,
             instant Now);
--- a/Libraries/RouteTable/route_table.cpp
+++ b/Libraries/RouteTable/route_table.cpp
@@ -6,13 +6,13 @@
 
 namespace amaranthhoist {
 
-/// How far the share of a part may be off its weight before requests go by
-/// count instead of by object. A fifth of the 0.1 that operators allow, since
-/// each instance splits alone and their errors may add up.
-static constexpr double SplitSlack = 0.02;
-/// Requests after which the counts are halved, so that a route's split follows
-/// its recent traffic and not its whole past.
-static constexpr double CountsHalvedAt = 400;
+/// Maximum deviation of a part's share from its weight before requests are
+/// assigned by count instead of by object. A fifth of the 0.1 that operators
+/// allow, since each instance splits independently and their errors may add up.
+static constexpr double SplitTolerance = 0.02;
+/// Number of requests after which the counts are halved, so that a route's
+/// split follows its recent traffic and not its whole history.
+static constexpr double HalveCountsAbove = 400;
 
 static std::string hostWithoutPort(std::string_view Host) {
   return toLower(Host.substr(0, Host.find(':')));
@@ -49,8 +49,8 @@
   return std::string_view::npos;
 }
 
-/// The part that \p KeyHash falls into when the parts stand end to end on a
-/// line, each as long as its weight.
+/// The part that \p KeyHash falls into when the parts are laid out on a line,
+/// each with a length equal to its weight.
 static std::size_t partOfKey(const std::vector<route_part> &Parts,
                              double TotalWeight, std::uint64_t KeyHash) {
   constexpr double Range = 18446744073709551616.0;
@@ -63,11 +63,11 @@
   return Parts.size() - 1;
 }
 
-/// The part that lacks most requests of its share.
-static std::size_t partInArrears(const std::vector<route_part> &Parts,
-                                 double TotalWeight,
-                                 const std::vector<double> &Sent,
-                                 double TotalSent) {
+/// The part that is furthest below its share of requests.
+static std::size_t mostUnderservedPart(const std::vector<route_part> &Parts,
+                                       double TotalWeight,
+                                       const std::vector<double> &Sent,
+                                       double TotalSent) {
   std::size_t Best = 0;
   double MostLacking = -1e300;
   for (std::size_t Index = 0; Index < Parts.size(); ++Index) {
@@ -81,8 +81,8 @@
   return Best;
 }
 
-const std::string &choosePart(route_table &Table, std::size_t Index,
-                              std::uint64_t KeyHash) {
+const std::string &chooseService(route_table &Table, std::size_t Index,
+                                 std::uint64_t KeyHash) {
   const std::vector<route_part> &Parts =
       Table.Configuration.Routes[Index].Parts;
   if (Parts.size() == 1)
@@ -97,11 +97,11 @@
   std::size_t Chosen = partOfKey(Parts, TotalWeight, KeyHash);
   const double Share = (Sent[Chosen] + 1) / (TotalSent + 1);
   const double Wanted = Parts[Chosen].Weight / TotalWeight;
-  // One request is the least that a count can be off.
-  if (Share > Wanted + SplitSlack + 1 / (TotalSent + 1))
-    Chosen = partInArrears(Parts, TotalWeight, Sent, TotalSent);
+  // A count can be off by at least one request.
+  if (Share > Wanted + SplitTolerance + 1 / (TotalSent + 1))
+    Chosen = mostUnderservedPart(Parts, TotalWeight, Sent, TotalSent);
   Sent[Chosen] += 1;
-  if (TotalSent > CountsHalvedAt)
+  if (TotalSent > HalveCountsAbove)
     for (double &Count : Sent)
       Count /= 2;
   return Parts[Chosen].Service;
--- a/Libraries/Steering/steering.cpp
+++ b/Libraries/Steering/steering.cpp
@@ -8,56 +8,60 @@
 
 namespace amaranthhoist {
 
-/// Share of its work that a region without any slots spreads over all regions;
-/// others in proportion to the slots they lack. A region with its even share
-/// gives nothing away while its servers have room: a request is under way to
-/// another region for up to three crossings, and when the region's traffic
-/// falls, most of what still arrives is what was sent away.
-static constexpr double SpreadWhenShort = 0.2;
-/// The largest share of a region's work that may leave it when its servers
-/// fill, however suddenly they do.
-static constexpr double LargestOverflow = 0.15;
-/// Weight of all regions alike in the choice of the other place. That place is
-/// the best one after an object's first, which lies in its own region mostly,
-/// so it is elsewhere up to twice as often.
-static constexpr double OverflowSpread = LargestOverflow / 2;
-/// Ranks the other regions' servers behind the own region's when nothing is
-/// given away.
-static constexpr double LeastSpread = 1e-9;
-/// The weights of regions are made anew this often; they follow the list of
-/// servers, which changes by the second at most.
-static constexpr duration WeightsPeriod = std::chrono::milliseconds(500);
-/// Slots beyond a server's own that each step of urgency may use: the server
-/// queues a few requests, and urgent ones wait there rather than being refused
+/// Share of its work that a region without any slots spills over to all
+/// regions; other regions in proportion to the slots they lack. A region with
+/// its even share spills nothing while its servers have capacity: a request is
+/// in flight to another region for up to three crossings, and when the region's
+/// traffic falls, most of what still arrives is what was sent away.
+static constexpr double SpilloverWithoutSlots = 0.2;
+/// The largest share of a region's work that may leave the region when its
+/// servers fill up, however suddenly they do.
+static constexpr double MaxOverflow = 0.15;
+/// Weight of all regions alike in the choice of the secondary candidate. The
+/// secondary is the best server after an object's primary, which is mostly in
+/// the own region, so the secondary is in another region up to twice as often.
+static constexpr double OverflowSpread = MaxOverflow / 2;
+/// Ranks the servers of other regions behind those of the own region when
+/// nothing spills over.
+static constexpr double MinSpillover = 1e-9;
+/// Interval between updates of the region weights. They follow the list of
+/// servers, which changes once a second at most.
+static constexpr duration WeightsUpdatePeriod = std::chrono::milliseconds(500);
+/// Slots beyond a server's own that each priority step may use. The server
+/// queues a few requests, and urgent ones wait there instead of being refused
 /// while less urgent ones are served.
-static constexpr double RoomPerUrgency = 1;
-static constexpr double MostRoomForUrgency = 2;
-/// The longest predicted waits for a slot at an object's places, as shares of
-/// the route's objective. A run at a place that is cold for the object takes
-/// about three times as long, mostly longer than the objective, and its slots
-/// are missing to all others there. So a request waits at the first place, late
-/// if need be, and the second is for objects that the first can't carry.
-/// Against 0.8 for both: worth +0.017, +0.010 and +0.007 (30 pairs a site); 1.2
-/// or 2.0 with 0.2 to 0.4 are within 0.002 of these.
-static constexpr std::array<double, PlacesPerObject> LongestWaits = {1.6, 0.3};
-/// What a run at the second place costs beyond its wait, as a share of the
-/// objective: it is chosen when the first place's wait is longer by more.
-static constexpr double SecondPlaceCost = 1;
-/// Work of a server that hasn't answered yet.
-static constexpr duration AssumedWork = std::chrono::milliseconds(400);
-/// Less time than this before the deadline: nothing can be run.
-static constexpr duration LeastTime = std::chrono::milliseconds(30);
-/// A server that has closed an idle connection answers a request on it with a
-/// reset, one round trip later: 70 ms between the farthest regions, and twice
-/// that on a loaded link. What ends later ended under the server's work, or the
-/// server is cut off; taken for idle it would be asked again.
-static constexpr duration LongestStaleEnd = std::chrono::milliseconds(150);
-/// Bounds of the time to come back, before the share of the time left.
-static constexpr duration ShortestReturn = std::chrono::milliseconds(250);
-static constexpr duration LongestReturn = std::chrono::milliseconds(1'000);
-/// Callers keep to a time to come back of up to a third of what they have
-/// left; a little less, for the way there.
-static constexpr double ReturnPart = 0.3;
+static constexpr double QueueSlotsPerPriorityStep = 1;
+static constexpr double MaxPriorityQueueSlots = 2;
+/// The longest predicted waits for a slot at an object's primary and secondary,
+/// as shares of the route's objective. A run on a server that is cold for the
+/// object takes about three times as long, mostly longer than the objective,
+/// and occupies slots that other objects need there. A request therefore waits
+/// at the primary, even past the objective, and the secondary is for objects
+/// that the primary cannot carry. Compared with 0.8 for both, the gain in worth
+/// is +0.017, +0.010 and +0.007 (30 pairs a site); 1.2 or 2.0 with 0.2 to 0.4
+/// are within 0.002 of these.
+static constexpr std::array<double, CandidatesPerObject> MaxWaits = {1.6, 0.3};
+/// Cost of a run at the secondary beyond its wait, as a share of the objective:
+/// the secondary is selected when the primary's wait is longer by more than
+/// this.
+static constexpr double SecondaryCost = 1;
+/// Response time assumed for a server that has not responded yet.
+static constexpr duration DefaultResponseTime = std::chrono::milliseconds(400);
+/// With less time than this before the deadline, no request can be run.
+static constexpr duration MinTimeLeft = std::chrono::milliseconds(30);
+/// A server that has closed an idle connection resets it when a request
+/// arrives, one round trip later: 70 ms between the farthest regions, and twice
+/// that on a loaded link. A connection that ends later ended while the server
+/// was working, or the server is cut off. If that were classified as an idle
+/// close, the server would be selected again.
+static constexpr duration MaxIdleCloseDelay = std::chrono::milliseconds(150);
+/// Bounds of the Retry-After time, before the share of the remaining time is
+/// applied.
+static constexpr duration MinRetryAfter = std::chrono::milliseconds(250);
+static constexpr duration MaxRetryAfter = std::chrono::milliseconds(1'000);
+/// Callers honor a Retry-After time of up to a third of their remaining time;
+/// the share is a little less, to leave time for the transfer.
+static constexpr double RetryAfterShare = 0.3;
 
 std::string_view toString(refusal Reason) {
   switch (Reason) {
@@ -67,7 +71,7 @@
     return "no_route";
   case refusal::NoTarget:
     return "no_target";
-  case refusal::Resting:
+  case refusal::BackingOff:
     return "resting";
   case refusal::NoRoom:
     return "no_room";
@@ -87,9 +91,10 @@
   if (Steering.Routes &&
       Configuration.Version <= Steering.Routes->Configuration.Version)
     return false;
-  Steering.LeastUrgent = 0;
+  Steering.LeastUrgentPriority = 0;
   for (const route &Route : Configuration.Routes)
-    Steering.LeastUrgent = std::max(Steering.LeastUrgent, Route.Priority);
+    Steering.LeastUrgentPriority =
+        std::max(Steering.LeastUrgentPriority, Route.Priority);
   Steering.Routes = makeRouteTable(std::move(Configuration));
   return true;
 }
@@ -112,11 +117,11 @@
              : Steering.Routes->Configuration.Routes[Index].Class;
 }
 
-/// What a request concerns. Callers name objects by short keys, and the same
-/// key on two routes is two objects: a server that is warm for one is cold for
-/// the other. Placed by the key alone, the objects of all routes fall on the
-/// same servers together: of 16 servers the busiest had 1.6 times the mean.
-/// Worth, 30 pairs a site: +0.035, +0.012 and +0.006.
+/// Hashes the route and the object key. Callers name objects by short keys, and
+/// the same key on two routes is two objects: a server that is warm for one is
+/// cold for the other. With placement by the key alone, the objects of all
+/// routes fall on the same servers: of 16 servers the busiest had 1.6 times the
+/// mean load. Gain in worth, 30 pairs a site: +0.035, +0.012 and +0.006.
 static std::uint64_t objectHash(const route &Route, std::string_view Key) {
   return stableHash(Key, stableHash(Route.PathPrefix, stableHash(Route.Host)));
 }
@@ -131,11 +136,12 @@
     return tl::unexpected(refusal::NoRoute);
   const route &Route = Table.Configuration.Routes[Index];
   request_plan Plan;
-  // Without affinity any server will do, a different one each time.
+  // Without affinity any server is suitable, so each request hashes
+  // differently.
   const bool HasObject = Route.HasAffinity && !Facts.ObjectKey.empty();
   Plan.KeyHash = HasObject ? objectHash(Route, Facts.ObjectKey)
                            : stableHash(Facts.RequestId);
-  Plan.Service = choosePart(Table, Index, Plan.KeyHash);
+  Plan.Service = chooseService(Table, Index, Plan.KeyHash);
   Plan.Content = Facts.Content;
   Plan.Class = Route.Class;
   Plan.Priority = Route.Priority;
@@ -150,26 +156,29 @@
   return Plan;
 }
 
-/// How many places in a server's queue the urgency of a request may use.
-static double queueRoomFor(const steering &Steering, const request_plan &Plan) {
-  return std::min(MostRoomForUrgency,
-                  RoomPerUrgency * (Steering.LeastUrgent - Plan.Priority));
+/// Number of queue slots at a server that the priority of a request may use.
+static double queueAllowance(const steering &Steering,
+                             const request_plan &Plan) {
+  return std::min(MaxPriorityQueueSlots,
+                  QueueSlotsPerPriorityStep *
+                      (Steering.LeastUrgentPriority - Plan.Priority));
 }
 
-/// How long a request would wait for a slot of \p Target under \p Load.
+/// Predicts the wait for a slot of \p Target at \p Load.
 static duration predictedWait(const target &Target, double Load,
-                              double QueueRoom) {
+                              double QueueAllowance) {
   const double Slots = Target.Entry.Slots;
-  const double Before = Load - QueueRoom - Slots + 1;
+  const double Before = Load - QueueAllowance - Slots + 1;
   if (Before <= 0)
     return duration::zero();
-  const duration Mean =
-      Target.MeanTime > duration::zero() ? Target.MeanTime : AssumedWork;
+  const duration Mean = Target.MeanResponseTime > duration::zero()
+                            ? Target.MeanResponseTime
+                            : DefaultResponseTime;
   return duration(static_cast<std::int64_t>(Before / Slots *
                                             static_cast<double>(Mean.count())));
 }
 
-static double ownColdRate(const steering &Steering, const target &Target) {
+static double localColdRate(const steering &Steering, const target &Target) {
   const service *Service =
       Steering.Routes ? findService(*Steering.Routes, Target.Entry.Service)
                       : nullptr;
@@ -179,14 +188,15 @@
                   Steering.Instances.front(), Steering.Instances);
 }
 
-static bool bearsRequest(const steering &Steering, const target &Target,
-                         instant Now) {
+static bool admitsColdRequest(const steering &Steering, const target &Target,
+                              instant Now) {
   return Now >= Target.ColdUntil ||
-         bearsRequest(Target, ownColdRate(Steering, Target), Now);
+         admitsColdRequest(Target, localColdRate(Steering, Target), Now);
 }
 
-/// Listed slots by region: what passes in a moment, as a server that is left
-/// out for its failures, must not move the objects of all others.
+/// Listed slots by region. Temporary conditions, such as the ejection of a
+/// server, are ignored because they must not move the objects of all other
+/// servers.
 static std::vector<double> slotsByRegion(const target_directory &Directory,
                                          std::span<target *const> Targets) {
   std::vector<double> Slots(Directory.Regions.size() + 1, 0.0);
@@ -197,22 +207,22 @@
   return Slots;
 }
 
-static const service_weights &weightsOf(steering &Steering,
-                                        const std::string &Service,
-                                        std::span<target *const> Targets,
-                                        instant Now) {
+static const service_weights &updateWeights(steering &Steering,
+                                            const std::string &Service,
+                                            std::span<target *const> Targets,
+                                            instant Now) {
   service_weights &Weights = Steering.Weights[Service];
-  if (!Weights.First.empty() && Now - Weights.Made < WeightsPeriod)
+  if (!Weights.Primary.empty() && Now - Weights.UpdatedAt < WeightsUpdatePeriod)
     return Weights;
-  Weights.Made = Now;
-  updateSpread(Weights.Spread, Now);
+  Weights.UpdatedAt = Now;
+  updateSpillover(Weights.Spread, Now);
   const std::vector<double> Slots = slotsByRegion(Steering.Targets, Targets);
   const double Lacking = 1 - ownCoverage(Slots, Steering.OwnRegion);
-  const double Spread =
-      std::max({LeastSpread, SpreadWhenShort * Lacking, Weights.Spread.Share});
-  Weights.First = regionWeights(Slots, Steering.OwnRegion, 1 - Spread);
-  Weights.Overflow = regionWeights(Slots, Steering.OwnRegion,
-                                   1 - OverflowSpread - Weights.Spread.Share);
+  const double Spread = std::max(
+      {MinSpillover, SpilloverWithoutSlots * Lacking, Weights.Spread.Share});
+  Weights.Primary = regionWeights(Slots, Steering.OwnRegion, 1 - Spread);
+  Weights.Secondary = regionWeights(Slots, Steering.OwnRegion,
+                                    1 - OverflowSpread - Weights.Spread.Share);
   return Weights;
 }
 
@@ -221,75 +231,80 @@
          Plan.Tried.end();
 }
 
-static duration shareOf(duration Time, double Share) {
+static duration scaleDuration(duration Time, double Share) {
   return duration(
       static_cast<std::int64_t>(Share * static_cast<double>(Time.count())));
 }
 
-/// The best of \p Ranking that may get the request now, other than \p Taken. A
-/// server that can't be used for a while doesn't count as a place.
-static target *firstBearing(const steering &Steering, const request_plan &Plan,
-                            const ranking &Ranking, const target *Taken,
-                            instant Now) {
+/// The best server in \p Ranking, other than \p Taken, that may receive the
+/// request now. A server that is temporarily unusable is not a candidate.
+static target *firstAdmitting(const steering &Steering,
+                              const request_plan &Plan, const ranking &Ranking,
+                              const target *Taken, instant Now) {
   for (target *Target : Ranking.targets())
     if (Target != Taken && !wasTried(Plan, *Target) &&
-        bearsRequest(Steering, *Target, Now))
+        admitsColdRequest(Steering, *Target, Now))
       return Target;
   return nullptr;
 }
 
-static void addPlace(weighed_places &Weighed, target &Target,
-                     duration Objective, double QueueRoom, instant Now) {
-  weighed_place &Place = Weighed.Places[Weighed.Count];
-  Place.LongestWait = shareOf(Objective, LongestWaits[Weighed.Count]);
-  ++Weighed.Count;
-  Place.Target = &Target;
-  Place.Load = estimatedLoad(Target, Now);
-  Place.Wait = predictedWait(Target, Place.Load, QueueRoom);
-  Place.HasRoom = Place.Wait <= Place.LongestWait;
+static void addCandidate(weighed_places &List, target &Target,
+                         duration Objective, double QueueAllowance,
+                         instant Now) {
+  weighed_place &Candidate = List.Places[List.Count];
+  Candidate.LongestWait = scaleDuration(Objective, MaxWaits[List.Count]);
+  ++List.Count;
+  Candidate.Target = &Target;
+  Candidate.Load = estimatedLoad(Target, Now);
+  Candidate.Wait = predictedWait(Target, Candidate.Load, QueueAllowance);
+  Candidate.HasCapacity = Candidate.Wait <= Candidate.LongestWait;
 }
 
 weighed_places weighPlaces(steering &Steering, const request_plan &Plan,
                            instant Now) {
-  weighed_places Weighed;
+  weighed_places List;
   auto Found = Steering.Targets.ByService.find(Plan.Service);
   if (Found == Steering.Targets.ByService.end())
-    return Weighed;
+    return List;
   const std::vector<target *> &Targets = Found->second;
   const service_weights &Weights =
-      weightsOf(Steering, Plan.Service, Targets, Now);
-  const rank_request Request{Plan.KeyHash, Plan.HomeRegions, Weights.First,
-                             Weights.Overflow};
-  const place_rankings Rankings =
+      updateWeights(Steering, Plan.Service, Targets, Now);
+  const rank_request Request{Plan.KeyHash, Plan.HomeRegions, Weights.Primary,
+                             Weights.Secondary};
+  const candidate_rankings Rankings =
       rankTargets(Steering.Targets, Targets, Request, Now);
-  Weighed.HasServers = Rankings.First.Count > 0;
-  const double QueueRoom = queueRoomFor(Steering, Plan);
-  target *First = firstBearing(Steering, Plan, Rankings.First, nullptr, Now);
+  List.HasUsableTargets = Rankings.Primary.Count > 0;
+  const double QueueAllowance = queueAllowance(Steering, Plan);
+  target *First =
+      firstAdmitting(Steering, Plan, Rankings.Primary, nullptr, Now);
   if (First)
-    addPlace(Weighed, *First, Plan.Objective, QueueRoom, Now);
-  target *Other = firstBearing(Steering, Plan, Rankings.Overflow, First, Now);
+    addCandidate(List, *First, Plan.Objective, QueueAllowance, Now);
+  target *Other =
+      firstAdmitting(Steering, Plan, Rankings.Secondary, First, Now);
   if (Other)
-    addPlace(Weighed, *Other, Plan.Objective, QueueRoom, Now);
-  return Weighed;
+    addCandidate(List, *Other, Plan.Objective, QueueAllowance, Now);
+  return List;
 }
 
-/// The place to use; nullptr: none has room.
-static const weighed_place *preferredPlace(const weighed_places &Weighed,
-                                           duration Objective) {
-  const weighed_place &First = Weighed.Places[0];
-  const weighed_place &Second = Weighed.Places[1];
-  const bool SecondHasRoom = Weighed.Count > 1 && Second.HasRoom;
-  const duration SecondCost = Second.Wait + shareOf(Objective, SecondPlaceCost);
-  if (Weighed.Count > 0 && First.HasRoom &&
-      !(SecondHasRoom && SecondCost < First.Wait))
+/// Selects the candidate to use, or nullptr if none has capacity.
+static const weighed_place *selectCandidate(const weighed_places &List,
+                                            duration Objective) {
+  const weighed_place &First = List.Places[0];
+  const weighed_place &Second = List.Places[1];
+  const bool SecondHasCapacity = List.Count > 1 && Second.HasCapacity;
+  const duration SecondCost =
+      Second.Wait + scaleDuration(Objective, SecondaryCost);
+  if (List.Count > 0 && First.HasCapacity &&
+      !(SecondHasCapacity && SecondCost < First.Wait))
     return &First;
-  return SecondHasRoom ? &Second : nullptr;
+  return SecondHasCapacity ? &Second : nullptr;
 }
 
-/// When the first of the servers that asked for rest may get the request; none:
-/// no server rests that could be used otherwise.
-static std::optional<instant>
-firstRestEnd(const steering &Steering, const request_plan &Plan, instant Now) {
+/// The earliest time at which a server in backoff may receive the request, or
+/// nullopt if no otherwise usable server is in backoff.
+static std::optional<instant> earliestBackoffEnd(const steering &Steering,
+                                                 const request_plan &Plan,
+                                                 instant Now) {
   auto Found = Steering.Targets.ByService.find(Plan.Service);
   if (Found == Steering.Targets.ByService.end())
     return std::nullopt;
@@ -297,56 +312,56 @@
   for (const target *Target : Found->second) {
     const instant End = Target->RestUntil;
     const bool Waits = Now < End && isUsable(Steering.Targets, *Target, End) &&
-                       isHome(Plan.HomeRegions, Target->Region);
+                       isHomeRegion(Plan.HomeRegions, Target->Region);
     if (Waits && (!First || End < *First))
       First = End;
   }
   return First;
 }
 
-/// Whether this instance is the one that tries a quarantined content.
-static bool makesTrials(const steering &Steering, std::uint64_t Content) {
+/// Whether this instance sends the trials of a quarantined content.
+static bool sendsTrials(const steering &Steering, std::uint64_t Content) {
   return !Steering.Instances.empty() &&
-         instancesBefore(Content, Steering.Instances.front(),
-                         Steering.Instances) == 0;
+         countHigherRankedInstances(Content, Steering.Instances.front(),
+                                    Steering.Instances) == 0;
 }
 
 tl::expected<target *, refusal>
 chooseTarget(steering &Steering, const request_plan &Plan, instant Now) {
   const std::uint64_t Content = Plan.Content;
   if (isQuarantined(Steering.Quarantine, Content) &&
-      !mayBeSent(Steering.Quarantine, Content, makesTrials(Steering, Content),
-                 Now))
+      !isAdmitted(Steering.Quarantine, Content, sendsTrials(Steering, Content),
+                  Now))
     return tl::unexpected(refusal::Quarantined);
-  if (Plan.Deadline - Now < LeastTime)
+  if (Plan.Deadline - Now < MinTimeLeft)
     return tl::unexpected(refusal::TooLate);
-  const weighed_places Weighed = weighPlaces(Steering, Plan, Now);
-  if (!Weighed.HasServers)
-    return tl::unexpected(firstRestEnd(Steering, Plan, Now)
-                              ? refusal::Resting
+  const weighed_places List = weighPlaces(Steering, Plan, Now);
+  if (!List.HasUsableTargets)
+    return tl::unexpected(earliestBackoffEnd(Steering, Plan, Now)
+                              ? refusal::BackingOff
                               : refusal::NoTarget);
-  const weighed_place *Place = preferredPlace(Weighed, Plan.Objective);
-  if (!Place)
+  const weighed_place *Candidate = selectCandidate(List, Plan.Objective);
+  if (!Candidate)
     return tl::unexpected(refusal::NoRoom);
-  return Place->Target;
+  return Candidate->Target;
 }
 
 void noteServerLoad(steering &Steering, target &Target, const target_load &Load,
                     instant Now) {
-  noteLoad(Target, Load, Now);
+  recordLoadReport(Target, Load, Now);
   if (Target.RegionIndex == Steering.OwnRegion)
-    noteOccupation(Steering.Weights[Target.Entry.Service].Spread,
-                   Load.Running + Load.Waiting, Load.Slots);
+    recordUtilization(Steering.Weights[Target.Entry.Service].Spread,
+                      Load.Running + Load.Waiting, Load.Slots);
 }
 
 void beginAttempt(steering &Steering, request_plan &Plan, target &Target,
                   instant Now) {
   ++Plan.Attempts;
   if (isQuarantined(Steering.Quarantine, Plan.Content))
-    noteTrial(Steering.Quarantine, Plan.Content, Now);
-  noteSent(Target, Now);
+    recordTrial(Steering.Quarantine, Plan.Content, Now);
+  recordAttemptStart(Target, Now);
   if (Now < Target.ColdUntil)
-    countColdRequest(Target, ownColdRate(Steering, Target), Now);
+    recordColdRequest(Target, localColdRate(Steering, Target), Now);
 }
 
 bool mayRepeat(steering &Steering, const request_plan &Plan, instant Now) {
@@ -354,29 +369,30 @@
     return false;
   if (Plan.Arrivals >= Plan.MaxAttempts)
     return false;
-  if (Plan.Deadline - Now < LeastTime)
+  if (Plan.Deadline - Now < MinTimeLeft)
     return false;
-  // What never reached a server is no repeat there.
-  return Plan.Arrivals == 0 || takeRepeat(Steering.Repeats, Plan.Service,
-                                          Steering.Instances.size(), Now);
+  // An attempt that never reached a server does not count as a retry there.
+  return Plan.Arrivals == 0 || tryAcquireRetry(Steering.Repeats, Plan.Service,
+                                               Steering.Instances.size(), Now);
 }
 
 attempt_result resultOf(const broken_attempt &Attempt) {
   if (Attempt.NotConnected)
     return attempt_result::Unreachable;
-  const bool OnlyStale =
-      Attempt.WasKept && !Attempt.HadAnswer && Attempt.Took < LongestStaleEnd;
-  return OnlyStale ? attempt_result::Cancelled : attempt_result::Failed;
+  const bool IsIdleClose =
+      Attempt.WasKept && !Attempt.HadAnswer && Attempt.Took < MaxIdleCloseDelay;
+  return IsIdleClose ? attempt_result::Cancelled : attempt_result::Failed;
 }
 
-/// A time within the caller's patience, drawn by the request's id.
-static duration spreadReturn(const request_plan &Plan,
-                             std::string_view RequestId, instant Now) {
+/// A Retry-After time within the caller's remaining time, with jitter derived
+/// from the request id.
+static duration jitteredRetryAfter(const request_plan &Plan,
+                                   std::string_view RequestId, instant Now) {
   const duration Left = std::max(duration::zero(), Plan.Deadline - Now);
   const duration Longest = std::min(
-      LongestReturn, duration(static_cast<std::int64_t>(
-                         ReturnPart * static_cast<double>(Left.count()))));
-  const duration Shortest = std::min(ShortestReturn, Longest);
+      MaxRetryAfter, duration(static_cast<std::int64_t>(
+                         RetryAfterShare * static_cast<double>(Left.count()))));
+  const duration Shortest = std::min(MinRetryAfter, Longest);
   const auto Range =
       static_cast<std::uint64_t>((Longest - Shortest).count()) + 1;
   return Shortest + duration(static_cast<std::int64_t>(
@@ -387,16 +403,16 @@
                     refusal Reason, std::string_view RequestId, instant Now) {
   switch (Reason) {
   case refusal::Leaving:
-    // Other instances can serve it at once.
+    // Other instances can serve the request at once.
     return duration::zero();
   case refusal::Quarantined:
-    return std::max(untilTrial(Steering.Quarantine, Plan.Content, Now),
-                    Steering.Quarantine.Policy.FirstTrial);
-  case refusal::Resting:
-    return firstRestEnd(Steering, Plan, Now).value_or(Now) - Now +
-           spreadReturn(Plan, RequestId, Now);
+    return std::max(timeUntilTrial(Steering.Quarantine, Plan.Content, Now),
+                    Steering.Quarantine.Policy.FirstTrialDelay);
+  case refusal::BackingOff:
+    return earliestBackoffEnd(Steering, Plan, Now).value_or(Now) - Now +
+           jitteredRetryAfter(Plan, RequestId, Now);
   default:
-    return spreadReturn(Plan, RequestId, Now);
+    return jitteredRetryAfter(Plan, RequestId, Now);
   }
 }
 
--- a/Libraries/Steering/steering.h
+++ b/Libraries/Steering/steering.h
@@ -1,6 +1,7 @@
-/// Decides what happens to each request of a caller: which backend server gets
-/// it, whether it is sent once more, and when it is refused. Pulls together the
-/// route table, the servers, placement and the shared rates. Sans-I/O.
+/// Admission, routing and retry decisions for the requests of callers: selects
+/// the backend server, decides whether an attempt is retried and when a request
+/// is refused. Combines the route table, the target directory, placement and
+/// the rates that all instances share. Sans-I/O.
 #pragma once
 
 #include "Core/core.h"
@@ -21,186 +22,194 @@
 
 namespace amaranthhoist {
 
-/// Weights of the regions for one service, and what they depend on.
+/// Weights of the regions for one service, with the state they are derived
+/// from.
 struct service_weights {
-  region_spread Spread;
-  /// For the first place of an object.
-  std::vector<double> First;
-  /// For what the first place has no room for.
-  std::vector<double> Overflow;
-  instant Made{};
+  region_spillover Spread;
+  /// For the primary candidate of an object.
+  std::vector<double> Primary;
+  /// For the secondary candidate, which takes what the primary has no capacity
+  /// for.
+  std::vector<double> Secondary;
+  instant UpdatedAt{};
 };
 
-/// Everything that decisions on requests depend on.
+/// The state that decisions on requests depend on.
 struct steering {
-  /// None until the first configuration has come.
+  /// Empty until the first configuration arrives.
   std::optional<route_table> Routes;
   target_directory Targets;
-  repeat_budget Repeats;
-  /// Requests that crash the servers which run them.
+  windowed_retry_budget Repeats;
+  /// Request contents that crash the servers which run them.
   quarantine Quarantine;
-  /// Hashes of all instances, this one's first.
+  /// Hashes of all instances; this instance's hash is the first.
   std::vector<std::uint64_t> Instances;
-  /// Index of this instance's region.
+  /// Index of this instance's region in the target directory.
   std::size_t OwnRegion = 0;
-  /// By service.
+  /// Region weights by service.
   text_map<service_weights> Weights;
-  /// The least urgent priority among the routes.
-  int LeastUrgent = 0;
+  /// The least urgent priority (highest number) among the routes.
+  int LeastUrgentPriority = 0;
 };
 
-/// Puts a configuration in force. False, and nothing happens, when it is not
-/// newer than the one in force: what callers have seen must not revert.
+/// Applies a configuration. Returns false and changes nothing unless it is
+/// newer than the current one: behavior that callers have seen must not revert.
 bool applyConfiguration(steering &Steering, configuration Configuration);
 
-/// One request on its way. Holds what its route said when it came, so that a
-/// new configuration doesn't change it halfway.
+/// An in-flight request. Copies the settings of its route on arrival, so that a
+/// new configuration does not change a request while it is in flight.
 struct request_plan {
   std::string Service;
   std::uint64_t KeyHash = 0;
-  /// Names what it asks for (contentHash()).
+  /// Fingerprint of the request content (contentHash()).
   std::uint64_t Content = 0;
   work_class Class = work_class::NonIdempotent;
   int Priority = 0;
   int MaxAttempts = 1;
   std::vector<std::string> HomeRegions;
   instant Arrived{};
-  /// When its final answer is due: the route's timeout or the caller's.
+  /// Deadline of the final response: the route's timeout or the caller's,
+  /// whichever ends first.
   instant Deadline{};
   duration Objective{};
-  /// Servers that it was sent to.
+  /// Number of servers that the request was sent to.
   int Attempts = 0;
-  /// Attempts that reached a server, or may have.
+  /// Number of attempts that reached a server, or may have.
   int Arrivals = 0;
-  /// Whether a server may have run it.
+  /// Whether a server may have executed the request.
   bool MayHaveRun = false;
-  /// Servers that didn't answer it, not to be asked again.
+  /// Servers that gave no response to this request; they are excluded from
+  /// further attempts.
   std::vector<std::string> Tried;
 };
 
 /// Why a request was refused.
 enum class refusal : std::uint8_t {
-  /// No configuration yet.
+  /// No configuration has been applied yet.
   NotConfigured,
   NoRoute,
-  /// No server of its service may be used.
+  /// No server of the service is usable.
   NoTarget,
-  /// Those that could be used asked for rest.
-  Resting,
-  /// Its servers have no room.
+  /// All servers that are otherwise usable requested backoff (Retry-After).
+  BackingOff,
+  /// The candidate servers have no capacity.
   NoRoom,
-  /// Too little time is left to run it.
+  /// Too little time is left before the deadline to run the request.
   TooLate,
-  /// Repeats are used up.
+  /// The retry budget is exhausted.
   NoRepeats,
-  /// Servers crash under requests of its content.
+  /// The content is quarantined because servers crash while running it.
   Quarantined,
-  /// This instance leaves and couldn't end the request in time.
+  /// This instance is shutting down and could not complete the request in time.
   Leaving,
 };
 
 /// The name of a refusal in logs and metrics.
 std::string_view toString(refusal Reason);
 
-/// The parts of a request that route it.
+/// The attributes of a request that routing depends on.
 struct request_facts {
   std::string_view Host;
-  /// Without its query.
+  /// Without the query string.
   std::string_view Path;
-  /// Names the object that it concerns; empty: none.
+  /// Key of the object that the request concerns; empty if there is none.
   std::string_view ObjectKey;
   std::string_view RequestId;
-  /// How long the caller will wait, if it says so.
+  /// Remaining time until the caller's timeout, if the caller states one.
   std::optional<duration> TimeLeft;
   instant Arrived{};
-  /// Names what it asks for (contentHash()).
+  /// Fingerprint of the request content (contentHash()).
   std::uint64_t Content = 0;
 };
 
-/// The longest time that a request may take by the routes in force.
+/// The longest timeout among the current routes.
 duration longestTimeout(const steering &Steering);
 
-/// What may be done with a request of this host and path; non-idempotent while
-/// no route is known for it.
+/// The work class of a request with this host and path; non-idempotent if no
+/// route matches.
 work_class classOf(const steering &Steering, std::string_view Host,
                    std::string_view Path);
 
-/// Finds the route of a request and makes its plan.
+/// Finds the route of a request and creates its plan.
 tl::expected<request_plan, refusal> planRequest(steering &Steering,
                                                 const request_facts &Facts);
 
-/// Servers of an object that are tried for room before a request for it is
-/// refused. With two a hot object has a second place; with more, it pushes out
-/// what is warm elsewhere and everybody gets slower (measured:
-/// docs/PLATFORM-DESIGN.md).
-inline constexpr std::size_t PlacesPerObject = 2;
+/// Number of servers of an object that are checked for capacity before a
+/// request for it is refused. With two, a hot object has a secondary server.
+/// With more, a hot object evicts objects that are warm on other servers, and
+/// all requests slow down (measured: docs/PLATFORM-DESIGN.md).
+inline constexpr std::size_t CandidatesPerObject = 2;
 
-/// A server that a request may go to, with what decides whether it has room.
+/// A server that a request may be sent to, with the values that decide whether
+/// it has capacity.
 struct weighed_place {
   target *Target = nullptr;
-  /// Requests estimated to be under way there, all instances together.
+  /// Estimated number of requests in flight at the server, from all instances.
   double Load = 0;
-  /// Predicted wait for a slot, and the longest at which there is room.
+  /// Predicted wait for a slot, and the longest wait that counts as having
+  /// capacity.
   duration Wait{};
   duration LongestWait{};
-  bool HasRoom = false;
+  bool HasCapacity = false;
 };
 
-/// The places of one request, the preferred one first.
+/// The candidates of one request, in order of preference.
 struct weighed_places {
-  std::array<weighed_place, PlacesPerObject> Places{};
+  std::array<weighed_place, CandidatesPerObject> Places{};
   std::size_t Count = 0;
-  /// Whether any server of the service may be used at all.
-  bool HasServers = false;
+  /// Whether any server of the service is usable at all.
+  bool HasUsableTargets = false;
 
   [[nodiscard]] std::span<const weighed_place> places() const {
     return {Places.data(), Count};
   }
 };
 
-/// Weighs the places of a request. The same state and time give the same
-/// result, so that a refusal can be explained after it was decided.
+/// Evaluates the candidates of a request. The same state and time give the same
+/// result, so that a refusal can be explained after the decision.
 weighed_places weighPlaces(steering &Steering, const request_plan &Plan,
                            instant Now);
 
-/// The server that the request goes to next. Counts nothing yet.
+/// Selects the server for the next attempt. Does not count the attempt.
 tl::expected<target *, refusal>
 chooseTarget(steering &Steering, const request_plan &Plan, instant Now);
 
-/// Takes in what \p Target says of its load.
+/// Records a load report from \p Target.
 void noteServerLoad(steering &Steering, target &Target, const target_load &Load,
                     instant Now);
 
-/// Counts an attempt that begins at \p Target.
+/// Records the start of an attempt at \p Target.
 void beginAttempt(steering &Steering, request_plan &Plan, target &Target,
                   instant Now);
 
-/// Whether another attempt may follow the one that has just failed; takes its
-/// token from the budget of repeats if it needs one. Non-idempotent work is
+/// Whether another attempt may follow the one that has just failed. Acquires a
+/// token from the retry budget if the attempt needs one. Non-idempotent work is
 /// never sent again once a byte of it may have reached a server, unless that
-/// server itself says that it did not run it.
+/// server itself states that it did not run the request.
 bool mayRepeat(steering &Steering, const request_plan &Plan, instant Now);
 
-/// An attempt whose connection ended without a whole answer.
+/// An attempt whose connection ended without a complete response.
 struct broken_attempt {
-  /// The connection never stood.
+  /// The connection was never established.
   bool NotConnected = false;
-  /// It had served other requests before.
+  /// The connection had served other requests before.
   bool WasKept = false;
-  /// Bytes came, sound or not.
+  /// Response bytes were received, valid or not.
   bool HadAnswer = false;
-  /// From sending to the end.
+  /// Time from sending the request to the end of the connection.
   duration Took{};
 };
 
-/// What a broken attempt says of its server. Cancelled: nothing, since a kept
-/// connection that ends at once was most likely closed for having been idle.
+/// Classifies a broken attempt for the health of its server. Returns Cancelled,
+/// which does not affect health, if a reused connection ends at once: the
+/// server most likely closed it as idle.
 attempt_result resultOf(const broken_attempt &Attempt);
 
-/// When a caller who was refused for \p Reason should come back. Mostly spread,
-/// so that those refused together don't return together, and soon enough that
-/// there is time left to serve them; for a quarantined content, when it is
-/// tried again; while all servers rest, spread after the first of them is back.
+/// The Retry-After time for a caller that was refused for \p Reason. In general
+/// it is jittered, so that callers refused together do not return together, and
+/// short enough that time is left to serve them. For a quarantined content it
+/// is the time of the next trial. While all servers request backoff it is
+/// jittered after the end of the first backoff.
 duration retryAfter(const steering &Steering, const request_plan &Plan,
                     refusal Reason, std::string_view RequestId, instant Now);
 
--- a/Libraries/Targets/list_trust.cpp
+++ b/Libraries/Targets/list_trust.cpp
@@ -2,29 +2,34 @@
 
 namespace amaranthhoist {
 
-/// Two seconds for entries to come back, and a little for the way here.
-static constexpr duration UnsureAfterTrouble = std::chrono::milliseconds(2'200);
-/// A peer's word goes before what this instance sees of the store for so long:
-/// a few of the polls that ask for it.
-static constexpr duration PeerHolds = std::chrono::milliseconds(1'200);
+/// Two seconds for entries to be registered again, plus propagation delay to
+/// this instance.
+static constexpr duration IncompleteAfterOutage =
+    std::chrono::milliseconds(2'200);
+/// Time for which a peer's report takes precedence over this instance's own
+/// view of the store: a few polling intervals.
+static constexpr duration PeerReportValidFor = std::chrono::milliseconds(1'200);
 
-void noteStoreTrouble(list_trust &Trust, instant Now) {
-  if (Trust.HasPeer && Now - Trust.PeerSpoke <= PeerHolds)
+void noteStoreTrouble(list_trust &Completeness, instant Now) {
+  if (Completeness.HasPeerReport &&
+      Now - Completeness.LastPeerReport <= PeerReportValidFor)
     return;
-  Trust.LastTrouble = Now;
-  Trust.HadTrouble = true;
+  Completeness.LastOutage = Now;
+  Completeness.HadOutage = true;
 }
 
-void notePeerTrust(list_trust &Trust, bool PeerIsSure, instant Now) {
-  Trust.PeerSpoke = Now;
-  Trust.HasPeer = true;
-  Trust.HadTrouble = !PeerIsSure;
-  if (!PeerIsSure)
-    Trust.LastTrouble = Now;
+void notePeerTrust(list_trust &Completeness, bool PeerListIsComplete,
+                   instant Now) {
+  Completeness.LastPeerReport = Now;
+  Completeness.HasPeerReport = true;
+  Completeness.HadOutage = !PeerListIsComplete;
+  if (!PeerListIsComplete)
+    Completeness.LastOutage = Now;
 }
 
-bool isListSure(const list_trust &Trust, instant Now) {
-  return !Trust.HadTrouble || Now - Trust.LastTrouble > UnsureAfterTrouble;
+bool isListSure(const list_trust &Completeness, instant Now) {
+  return !Completeness.HadOutage ||
+         Now - Completeness.LastOutage > IncompleteAfterOutage;
 }
 
 } // namespace amaranthhoist
--- a/Libraries/Targets/list_trust.h
+++ b/Libraries/Targets/list_trust.h
@@ -1,8 +1,8 @@
-/// Whether the platform's list of backend servers can be believed to name all
-/// that live. After the store was away it can't for a while: entries lapsed,
-/// and are back within two seconds of its return. A store that only this
-/// instance couldn't reach was not away, and peers that stayed in touch know.
-/// Sans-I/O.
+/// Tracks whether the platform's list of backend servers is complete. After a
+/// store outage it is not for a while: entries expire, and are registered again
+/// within two seconds of the store's return. If only this instance could not
+/// reach the store, no entries expired, and peers that remained connected
+/// report this. Sans-I/O.
 #pragma once
 
 #include "Core/core.h"
@@ -10,17 +10,19 @@
 namespace amaranthhoist {
 
 struct list_trust {
-  instant LastTrouble{};
-  bool HadTrouble = false;
-  /// When a peer in touch with the store spoke last.
-  instant PeerSpoke{};
-  bool HasPeer = false;
+  instant LastOutage{};
+  bool HadOutage = false;
+  /// Time of the last report from a peer that is connected to the store.
+  instant LastPeerReport{};
+  bool HasPeerReport = false;
 };
 
-/// The store didn't answer, or answers again after that.
-void noteStoreTrouble(list_trust &Trust, instant Now);
-/// A peer whose state is fresh tells whether its list is sure.
-void notePeerTrust(list_trust &Trust, bool PeerIsSure, instant Now);
-bool isListSure(const list_trust &Trust, instant Now);
+/// Records that the store did not respond, or that it responds again after an
+/// outage.
+void noteStoreTrouble(list_trust &Completeness, instant Now);
+/// Records whether a peer with fresh state considers its list complete.
+void notePeerTrust(list_trust &Completeness, bool PeerListIsComplete,
+                   instant Now);
+bool isListSure(const list_trust &Completeness, instant Now);
 
 } // namespace amaranthhoist
--- a/Libraries/Targets/targets.cpp
+++ b/Libraries/Targets/targets.cpp
@@ -6,51 +6,55 @@
 
 namespace amaranthhoist {
 
-/// First time out of use after a failed connection, and the longest; doubled
+/// Ejection time after the first failed connection, and the longest; it doubles
 /// in between. Short, since a trial costs one request little.
 static constexpr duration FirstEjection = std::chrono::milliseconds(400);
-static constexpr duration LongestEjection = std::chrono::milliseconds(4'000);
-/// Weight of one attempt in the share of failures: about the last ten count.
+static constexpr duration MaxEjection = std::chrono::milliseconds(4'000);
+/// Weight of one attempt in the failure rate: about the last ten attempts
+/// count.
 static constexpr double FailureWeight = 0.1;
-/// Share of failures that puts a server out of use, and the attempts that must
-/// have been seen: single errors happen at healthy servers.
-static constexpr double EjectAtShare = 0.35;
+/// Failure rate at which a server is ejected, and the minimum number of
+/// attempts: single errors occur at healthy servers.
+static constexpr double EjectAtFailureRate = 0.35;
 static constexpr int EjectAfterSamples = 5;
-/// Part of a service's servers that may be out for their failures: when more
-/// fail, the cause isn't theirs, and leaving them out would overload the rest.
-static constexpr double MostEjected = 0.34;
-/// A report counts whole for this long and fades over the same time.
-static constexpr duration ReportFresh = std::chrono::milliseconds(700);
-
-/// Servers that went and whose own words are kept: more than go while a store's
-/// outage makes entries lapse.
-static constexpr std::size_t MostFormer = 512;
+/// Share of a service's servers that may be ejected for failures. When more
+/// fail, the cause is not in the servers, and ejecting them would overload the
+/// rest.
+static constexpr double MaxEjectedShare = 0.34;
+/// A load report has full weight for this long and fades to zero over the same
+/// time.
+static constexpr duration ReportFreshFor = std::chrono::milliseconds(700);
+
+/// Bound on the states retained for removed servers: more than are removed
+/// while entries expire in a store outage.
+static constexpr std::size_t MaxRetainedStates = 512;
 
 static void addToService(target_directory &Directory, target *Target) {
   Directory.ByService[Target->Entry.Service].push_back(Target);
 }
 
-static void takeFromService(target_directory &Directory, const target *Target) {
+static void removeFromService(target_directory &Directory,
+                              const target *Target) {
   auto Found = Directory.ByService.find(Target->Entry.Service);
   if (Found != Directory.ByService.end())
     std::erase(Found->second, Target);
 }
 
-/// Keeps what a server said itself, for the case that its entry comes back.
-static void remember(target_directory &Directory, const target &Target) {
+/// Retains what a server reported itself, in case its entry returns.
+static void retainState(target_directory &Directory, const target &Target) {
   if (Target.RestUntil == instant() && !Target.Entry.IsLeaving)
     return;
-  Directory.Former.push_back({Target.Entry, Target.RestUntil});
-  if (Directory.Former.size() > MostFormer)
-    Directory.Former.pop_front();
+  Directory.RetainedStates.push_back({Target.Entry, Target.RestUntil});
+  if (Directory.RetainedStates.size() > MaxRetainedStates)
+    Directory.RetainedStates.pop_front();
 }
 
-static void depart(target_directory &Directory, std::string_view Id) {
+static void retire(target_directory &Directory, std::string_view Id) {
   auto Found = Directory.ById.find(Id);
   if (Found == Directory.ById.end())
     return;
-  remember(Directory, *Found->second);
-  takeFromService(Directory, Found->second.get());
+  retainState(Directory, *Found->second);
+  removeFromService(Directory, Found->second.get());
   Directory.Departed.push_back(std::move(Found->second));
   Directory.ById.erase(Found);
 }
@@ -78,23 +82,25 @@
   return static_cast<std::size_t>(Found - Directory.Regions.begin());
 }
 
-/// Whether two entries under one id are of the same process at the same place.
-static bool isSameStart(const target_entry &Known, const target_entry &Entry) {
-  return Known.Service == Entry.Service && Known.Address == Entry.Address &&
-         Known.StartedAtMs == Entry.StartedAtMs;
+/// Whether two entries with one id describe the same process at the same
+/// address.
+static bool isSameIncarnation(const target_entry &Current,
+                              const target_entry &Entry) {
+  return Current.Service == Entry.Service && Current.Address == Entry.Address &&
+         Current.StartedAtMs == Entry.StartedAtMs;
 }
 
-/// Gives a server that comes back what it had said itself.
-static void recall(const target_directory &Directory, target &Target) {
-  const auto Found =
-      std::find_if(Directory.Former.rbegin(), Directory.Former.rend(),
-                   [&](const former_target &Former) {
-                     return Former.Entry.Id == Target.Entry.Id &&
-                            isSameStart(Former.Entry, Target.Entry);
-                   });
-  if (Found == Directory.Former.rend())
+/// Restores the reported state of a server whose entry returns.
+static void restoreState(const target_directory &Directory, target &Target) {
+  const auto Found = std::find_if(
+      Directory.RetainedStates.rbegin(), Directory.RetainedStates.rend(),
+      [&](const retained_state &State) {
+        return State.Entry.Id == Target.Entry.Id &&
+               isSameIncarnation(State.Entry, Target.Entry);
+      });
+  if (Found == Directory.RetainedStates.rend())
     return;
-  Target.RestUntil = Found->RestUntil;
+  Target.RestUntil = Found->BackoffUntil;
   Target.Entry.IsLeaving = Found->Entry.IsLeaving;
 }
 
@@ -102,22 +108,23 @@
                instant Now) {
   auto Found = Directory.ById.find(Entry.Id);
   if (Found != Directory.ById.end() &&
-      !isSameStart(Found->second->Entry, Entry)) {
-    depart(Directory, Entry.Id);
+      !isSameIncarnation(Found->second->Entry, Entry)) {
+    retire(Directory, Entry.Id);
     Found = Directory.ById.end();
   }
   if (Found == Directory.ById.end()) {
     auto Target = std::make_unique<target>();
     Target->Serial = Directory.NextSerial++;
     Target->Hash = stableHash(Entry.Id);
-    Target->FirstSeen = Now;
+    Target->AddedAt = Now;
     Target->Entry = Entry;
-    recall(Directory, *Target);
+    restoreState(Directory, *Target);
     addToService(Directory, Target.get());
     Found = Directory.ById.emplace(Entry.Id, std::move(Target)).first;
   }
   target &Target = *Found->second;
-  // A server that said itself that it leaves doesn't come back as the same.
+  // A server that reported that it is draining does not become usable again as
+  // the same incarnation.
   const bool WasLeaving = Target.Entry.IsLeaving;
   Target.Entry = Entry;
   Target.Entry.IsLeaving = Entry.IsLeaving || WasLeaving;
@@ -131,35 +138,35 @@
 }
 
 void removeTarget(target_directory &Directory, std::string_view Id,
-                  bool ListIsSure) {
+                  bool ListIsComplete) {
   auto Found = Directory.ById.find(Id);
   if (Found == Directory.ById.end())
     return;
   target &Target = *Found->second;
-  if (ListIsSure || Target.Entry.IsLeaving) {
-    depart(Directory, Id);
+  if (ListIsComplete || Target.Entry.IsLeaving) {
+    retire(Directory, Id);
     return;
   }
   Target.IsMissing = true;
 }
 
-void keepOnly(target_directory &Directory, const text_set &Ids,
-              bool ListIsSure) {
+void removeUnlisted(target_directory &Directory, const text_set &Ids,
+                    bool ListIsComplete) {
   std::vector<std::string> Missing;
   for (const auto &[Id, Target] : Directory.ById)
     if (!Ids.contains(Id))
       Missing.push_back(Id);
   for (const std::string &Id : Missing)
-    removeTarget(Directory, Id, ListIsSure);
+    removeTarget(Directory, Id, ListIsComplete);
 }
 
 void removeMissing(target_directory &Directory) {
-  std::vector<std::string> Gone;
+  std::vector<std::string> Missing;
   for (const auto &[Id, Target] : Directory.ById)
     if (Target->IsMissing)
-      Gone.push_back(Id);
-  for (const std::string &Id : Gone)
-    depart(Directory, Id);
+      Missing.push_back(Id);
+  for (const std::string &Id : Missing)
+    retire(Directory, Id);
 }
 
 void freeDeparted(target_directory &Directory) {
@@ -189,7 +196,7 @@
   if (Now < Target.RestUntil)
     return false;
   if (Target.EjectionTime > duration::zero())
-    return Now >= Target.EjectedUntil && !Target.OnTrial;
+    return Now >= Target.EjectedUntil && !Target.IsHalfOpen;
   return true;
 }
 
@@ -199,90 +206,93 @@
     const int Reported = Target.Reported.Running + Target.Reported.Waiting;
     Others = std::max(0, Reported - Target.InFlightAtReport);
     const duration Age = Now - Target.ReportedAt;
-    if (Age > ReportFresh) {
-      const auto Faded = static_cast<double>((Age - ReportFresh).count()) /
-                         static_cast<double>(ReportFresh.count());
+    if (Age > ReportFreshFor) {
+      const auto Faded = static_cast<double>((Age - ReportFreshFor).count()) /
+                         static_cast<double>(ReportFreshFor.count());
       Others *= std::max(0.0, 1 - Faded);
     }
   }
   return Others + Target.InFlight;
 }
 
-void noteSent(target &Target, instant Now) {
+void recordAttemptStart(target &Target, instant Now) {
   ++Target.InFlight;
   if (Target.EjectionTime > duration::zero() && Now >= Target.EjectedUntil)
-    Target.OnTrial = true;
+    Target.IsHalfOpen = true;
 }
 
-void noteLoad(target &Target, const target_load &Load, instant Now) {
+void recordLoadReport(target &Target, const target_load &Load, instant Now) {
   Target.Reported = Load;
   if (Load.Slots > 0)
     Target.Entry.Slots = Load.Slots;
-  // The answered request itself isn't in the report.
+  // The request that carried the report with its response is not part of the
+  // report.
   Target.InFlightAtReport = std::max(0, Target.InFlight - 1);
   Target.ReportedAt = Now;
   Target.HasReport = true;
 }
 
 static void eject(target &Target, instant Now) {
-  const bool WasOut = Target.EjectionTime > duration::zero();
-  Target.EjectionTime = WasOut
-                            ? std::min(2 * Target.EjectionTime, LongestEjection)
+  const bool WasEjected = Target.EjectionTime > duration::zero();
+  Target.EjectionTime = WasEjected
+                            ? std::min(2 * Target.EjectionTime, MaxEjection)
                             : FirstEjection;
   Target.EjectedUntil = Now + Target.EjectionTime;
 }
 
-/// Whether one more server of the same service may be put out of use.
+/// Whether one more server of the same service may be ejected.
 static bool mayEject(const target_directory &Directory, const target &Target) {
   auto Found = Directory.ByService.find(Target.Entry.Service);
   if (Found == Directory.ByService.end())
     return true;
-  const auto Out = std::count_if(
+  const auto Ejected = std::count_if(
       Found->second.begin(), Found->second.end(), [](const target *Other) {
         return Other->EjectionTime > duration::zero();
       });
-  return static_cast<double>(Out) <
-         MostEjected * static_cast<double>(Found->second.size());
+  return static_cast<double>(Ejected) <
+         MaxEjectedShare * static_cast<double>(Found->second.size());
 }
 
-static void noteHealthy(target &Target, duration Took) {
-  Target.FailureShare *= 1 - FailureWeight;
-  Target.UnreachableInARow = 0;
+static void recordSuccess(target &Target, duration Took) {
+  Target.FailureRate *= 1 - FailureWeight;
+  Target.ConsecutiveConnectFailures = 0;
   Target.EjectionTime = duration::zero();
-  Target.MeanTime = Target.MeanTime == duration::zero()
-                        ? Took
-                        : (Target.MeanTime * 9 + Took) / 10;
+  Target.MeanResponseTime = Target.MeanResponseTime == duration::zero()
+                                ? Took
+                                : (Target.MeanResponseTime * 9 + Took) / 10;
 }
 
-static void noteFailure(target_directory &Directory, target &Target,
-                        bool WasTrial, instant Now) {
-  Target.FailureShare += (1 - Target.FailureShare) * FailureWeight;
+static void recordFailure(target_directory &Directory, target &Target,
+                          bool WasTrial, instant Now) {
+  Target.FailureRate += (1 - Target.FailureRate) * FailureWeight;
   if (WasTrial) {
     eject(Target, Now);
     return;
   }
   if (Target.Samples >= EjectAfterSamples &&
-      Target.FailureShare >= EjectAtShare && mayEject(Directory, Target))
+      Target.FailureRate >= EjectAtFailureRate && mayEject(Directory, Target))
     eject(Target, Now);
 }
 
-/// The record that holds now for the server of \p Target: its entry may have
-/// lapsed and come back while a request was there. None: it is gone.
-static target *currentRecord(target_directory &Directory,
-                             const target &Target) {
+/// The current record for the server of \p Target, or nullptr if it has been
+/// removed. The entry may have expired and returned while a request was in
+/// flight.
+static target *findCurrentRecord(target_directory &Directory,
+                                 const target &Target) {
   auto Found = Directory.ById.find(Target.Entry.Id);
   if (Found == Directory.ById.end() ||
-      !isSameStart(Found->second->Entry, Target.Entry))
+      !isSameIncarnation(Found->second->Entry, Target.Entry))
     return nullptr;
   return Found->second.get();
 }
 
-/// What a server said is kept where the next request looks.
-static void shareWithCurrent(target_directory &Directory,
-                             const target &Target) {
-  target *Current = currentRecord(Directory, Target);
+/// Copies the state that a server reported to the record that the next request
+/// uses.
+static void copyToCurrentRecord(target_directory &Directory,
+                                const target &Target) {
+  target *Current = findCurrentRecord(Directory, Target);
   if (!Current) {
-    remember(Directory, Target);
+    retainState(Directory, Target);
     return;
   }
   Current->RestUntil = std::max(Current->RestUntil, Target.RestUntil);
@@ -290,41 +300,42 @@
 }
 
 void noteRest(target_directory &Directory, target &Target, instant Until) {
-  // An answer on its way may be older than the last one.
+  // A response may arrive after a later one; the longest backoff wins.
   Target.RestUntil = std::max(Target.RestUntil, Until);
-  shareWithCurrent(Directory, Target);
+  copyToCurrentRecord(Directory, Target);
 }
 
 void noteLeaving(target_directory &Directory, target &Target) {
   Target.Entry.IsLeaving = true;
-  shareWithCurrent(Directory, Target);
+  copyToCurrentRecord(Directory, Target);
 }
 
 void noteResult(target_directory &Directory, target &Target,
                 attempt_result Result, duration Took, instant Now) {
   --Target.InFlight;
-  const bool WasTrial = Target.OnTrial;
-  Target.OnTrial = false;
+  const bool WasTrial = Target.IsHalfOpen;
+  Target.IsHalfOpen = false;
   if (Result != attempt_result::Cancelled)
     ++Target.Samples;
   switch (Result) {
   case attempt_result::Answered:
-    noteHealthy(Target, Took);
+    recordSuccess(Target, Took);
     return;
   case attempt_result::Unreachable:
-    // Nobody is there: no bound, sending on would only lose time.
-    ++Target.UnreachableInARow;
+    // No process is listening. The ejection bound does not apply: sending on
+    // would only waste time.
+    ++Target.ConsecutiveConnectFailures;
     eject(Target, Now);
     return;
   case attempt_result::Shed:
-    // It said itself when it wants requests again.
+    // The server stated itself when it accepts requests again.
     if (Now < Target.RestUntil)
       return;
-    noteFailure(Directory, Target, WasTrial, Now);
+    recordFailure(Directory, Target, WasTrial, Now);
     return;
   case attempt_result::Failed:
   case attempt_result::TimedOut:
-    noteFailure(Directory, Target, WasTrial, Now);
+    recordFailure(Directory, Target, WasTrial, Now);
     return;
   case attempt_result::Replaced:
     noteLeaving(Directory, Target);
--- a/Libraries/Targets/targets.h
+++ b/Libraries/Targets/targets.h
@@ -1,6 +1,6 @@
-/// The backend servers as this instance believes them to be: from the
-/// platform's list, and from what their answers and connections show. The list
-/// may lag or miss servers that live; outcomes correct it. Sans-I/O.
+/// The backend servers in this instance's current view: the platform's list,
+/// combined with what responses and connections show. The list may lag or omit
+/// live servers; attempt outcomes correct it. Sans-I/O.
 #pragma once
 
 #include "Core/core.h"
@@ -17,93 +17,96 @@
 
 namespace amaranthhoist {
 
-/// What the platform's list says of one incarnation of a backend server.
+/// The platform's list entry for one incarnation of a backend server.
 struct target_entry {
   std::string Id;
   std::string Service;
   /// `ip:port`.
   std::string Address;
   std::string FailureDomain;
-  /// Requests that it works on at a time.
+  /// Number of requests that it processes concurrently.
   int Slots = 1;
   bool IsLeaving = false;
-  /// How much longer it is cold.
+  /// Remaining duration of the cold start.
   duration ColdFor{};
-  /// Unix time of its start in milliseconds, which tells one start under the
-  /// same id from the next; 0: it doesn't say.
+  /// Unix time of its start in milliseconds, which distinguishes incarnations
+  /// with the same id; 0 if the server does not report it.
   std::int64_t StartedAtMs = 0;
 };
 
-/// What a backend server says of its own load.
+/// A load report from a backend server.
 struct target_load {
   int Running = 0;
   int Waiting = 0;
   int Slots = 0;
 };
 
-/// How one attempt ended, as far as the server's health is concerned.
+/// The outcome of an attempt as it affects the server's health.
 enum class attempt_result : std::uint8_t {
   Answered,
-  /// It said that it did not run the request.
+  /// The server reported that it did not run the request.
   Shed,
-  /// An error of its own, or an answer that broke off or was no answer.
+  /// A server error, or a truncated or malformed response.
   Failed,
-  /// No connection could be made.
+  /// No connection could be established.
   Unreachable,
-  /// Nothing came in the time there was.
+  /// No response arrived before the timeout.
   TimedOut,
-  /// Another server has its address.
+  /// Another server uses its address.
   Replaced,
-  /// Ended from this side; says nothing of the server.
+  /// Ended by this instance; does not affect the server's health.
   Cancelled,
 };
 
 struct target {
   target_entry Entry;
-  /// Unique in this process: another start under the same id has another one.
+  /// Unique in this process: another incarnation with the same id has a
+  /// different serial.
   std::uint64_t Serial = 0;
   std::string Region;
-  /// Of its region in the directory's Regions.
+  /// Index of its region in the directory's Regions.
   std::size_t RegionIndex = 0;
-  /// Of the id; ranks the server for an object.
+  /// Hash of the id; ranks the server for an object.
   std::uint64_t Hash = 0;
-  /// Requests of this instance under way there.
+  /// Number of requests in flight there from this instance.
   int InFlight = 0;
 
-  /// Last report, and what this instance had under way there at the time.
+  /// The last load report, and the number of requests in flight from this
+  /// instance when it arrived.
   target_load Reported;
   int InFlightAtReport = 0;
   instant ReportedAt{};
   bool HasReport = false;
 
-  /// Share of failures among recent attempts, 0 to 1.
-  double FailureShare = 0;
-  /// Mean time of recent answers.
-  duration MeanTime{};
+  /// Moving average of failures among recent attempts, 0 to 1.
+  double FailureRate = 0;
+  /// Moving average of the time to a response.
+  duration MeanResponseTime{};
   int Samples = 0;
-  int UnreachableInARow = 0;
-  /// Gets no request before, but for one trial afterwards.
+  int ConsecutiveConnectFailures = 0;
+  /// Receives no requests before this time, and then a single trial request
+  /// (half-open).
   instant EjectedUntil{};
   duration EjectionTime{};
-  bool OnTrial = false;
-  /// Gets no request before: it asked this instance for rest.
+  bool IsHalfOpen = false;
+  /// Receives no requests before this time: it requested backoff from this
+  /// instance.
   instant RestUntil{};
 
   instant ColdUntil{};
-  /// Earliest time of the next request while it is cold.
+  /// Earliest time of the next request during its cold start.
   instant NextColdRequest{};
-  /// Missing from the list, which may be a lapse of the list and not the
-  /// server's end.
+  /// Missing from the list. This may be an expired entry of a live server.
   bool IsMissing = false;
-  /// When this instance learned of it.
-  instant FirstSeen{};
+  /// When this instance added it to its directory.
+  instant AddedAt{};
 };
 
-/// What a server had said itself when its entry went. The entry may have lapsed
-/// while the server lives, and come back.
-struct former_target {
+/// State that a server itself reported before its entry was removed. The entry
+/// may have expired while the server is alive, and may return.
+struct retained_state {
   target_entry Entry;
-  instant RestUntil{};
+  instant BackoffUntil{};
 };
 
 /// All backend servers.
@@ -114,12 +117,12 @@
   std::vector<std::string> Regions;
   text_map<std::unique_ptr<target>> ById;
   text_map<std::vector<target *>> ByService;
-  /// Servers there get nothing.
+  /// Failure domains whose servers receive no requests.
   text_set EvacuatedDomains;
-  /// Removed from the list, kept until their last request has ended.
+  /// Removed from the list, kept until their last request completes.
   std::vector<std::unique_ptr<target>> Departed;
-  /// The latest that went, oldest first.
-  std::deque<former_target> Former;
+  /// States of the most recently removed servers, oldest first.
+  std::deque<retained_state> RetainedStates;
   std::uint64_t NextSerial = 1;
 };
 
@@ -127,58 +130,60 @@
 void setDomains(target_directory &Directory,
                 const std::map<std::string, std::string> &RegionOfDomain);
 
-/// Index of a region by name; the number of regions if there is none such.
+/// Index of a region by name; the number of regions if there is no such region.
 std::size_t regionIndex(const target_directory &Directory,
                         std::string_view Name);
 
-/// Takes in one entry of the list. A server that started again under its id
-/// begins a fresh record: what was learned of the earlier start (load,
-/// failures, leaving) would shut a healthy server out, or trust a cold one.
+/// Applies one entry of the list. A server that restarted under its id gets a
+/// new record: the state of the previous incarnation (load, failures, draining)
+/// would exclude a healthy server, or send full load to a cold one.
 void putTarget(target_directory &Directory, const target_entry &Entry,
                instant Now);
 
-/// Takes a server out. While the list is unsure (\p ListIsSure false: it was
-/// away a moment ago) the server stays until removeMissing().
+/// Removes a server. While the list is incomplete (\p ListIsComplete is false
+/// after a store outage), the server stays until removeMissing().
 void removeTarget(target_directory &Directory, std::string_view Id,
-                  bool ListIsSure);
+                  bool ListIsComplete);
 
-/// Takes out what a whole new list doesn't have.
-void keepOnly(target_directory &Directory, const text_set &Ids,
-              bool ListIsSure);
+/// Removes the servers that a full snapshot does not contain.
+void removeUnlisted(target_directory &Directory, const text_set &Ids,
+                    bool ListIsComplete);
 
-/// Takes out servers that are still missing, now that the list is sure.
+/// Removes servers that are still missing once the list is complete.
 void removeMissing(target_directory &Directory);
 
-/// Frees departed servers without requests. A pointer to a server is valid
-/// while a request is counted there.
+/// Frees retired servers without requests in flight. A pointer to a server is
+/// valid while a request is counted there.
 void freeDeparted(target_directory &Directory);
 
-/// Stops or resumes sending to the servers of a failure domain. On return they
-/// count as cold for \p ColdTime: they may have lost their caches meanwhile.
+/// Stops or resumes sending to the servers of a failure domain. When resumed,
+/// the servers count as cold for \p ColdTime: they may have lost their caches
+/// meanwhile.
 void setEvacuated(target_directory &Directory, const std::string &Domain,
                   bool IsEvacuated, duration ColdTime, instant Now);
 
-/// Whether a new request may go to \p Target, load aside.
+/// Whether a new request may be sent to \p Target, regardless of its load.
 bool isUsable(const target_directory &Directory, const target &Target,
               instant Now);
 
-/// Requests under way at \p Target from all instances: its last report, less
-/// this instance's part then, plus this instance's part now.
+/// Estimates the requests in flight at \p Target from all instances: its last
+/// report, less this instance's part at that time, plus this instance's part
+/// now.
 double estimatedLoad(const target &Target, instant Now);
 
-void noteSent(target &Target, instant Now);
-void noteLoad(target &Target, const target_load &Load, instant Now);
+void recordAttemptStart(target &Target, instant Now);
+void recordLoadReport(target &Target, const target_load &Load, instant Now);
 
-/// Takes in how an attempt ended that was counted by noteSent().
+/// Records the result of an attempt that was counted by recordAttemptStart().
 void noteResult(target_directory &Directory, target &Target,
                 attempt_result Result, duration Took, instant Now);
 
-/// Leaves a server alone that asked for it. \p Target may have departed since
-/// the request was sent.
+/// Excludes a server that requested backoff until \p Until. \p Target may have
+/// been retired since the request was sent.
 void noteRest(target_directory &Directory, target &Target, instant Until);
 
-/// Leaves out a server that says it leaves, before the list does. \p Target may
-/// have departed since the request was sent.
+/// Excludes a server that reports that it is draining, before the list does. \p
+/// Target may have been retired since the request was sent.
 void noteLeaving(target_directory &Directory, target &Target);
 
 } // namespace amaranthhoist
--- a/Tests/pacing_test.cpp
+++ b/Tests/pacing_test.cpp
@@ -1,4 +1,5 @@
-// Rates that all instances share without talking: the sums keep the bounds.
+// Rates that all instances share without communication: the sums stay within
+// the bounds.
 
 #include "Pacing/pacing.h"
 
@@ -13,10 +14,10 @@
 TEST_GROUP(Pacing) {};
 // clang-format on
 
-// Symptom: a server that has just come back falls over again. Sequence: every
-// instance sends it the requests that are its own part. Cause: parts that are
-// below one request a second are rounded up by each of many instances.
-TEST(Pacing, AllInstancesTogetherSpareAColdServer) {
+// Guards against overloading a server that has just started: if each of many
+// instances rounds its part of less than one request a second up, the server
+// receives too many requests and fails again.
+TEST(Pacing, SumOfColdRatesStaysWithinBound) {
   for (std::size_t Count : {1U, 9U, 84U}) {
     for (double Rate : {1.0, 2.5, 7.2}) {
       std::vector<std::uint64_t> Instances;
@@ -27,7 +28,8 @@
         View.Hash = stableHash("cold");
         View.ColdUntil = instant(seconds(10));
       }
-      // Requests of each tenth of a second; every instance sends what it may.
+      // Requests of each tenth of a second; every instance sends what it is
+      // permitted.
       std::vector<int> Sent;
       for (int Step = 0; Step < 100; ++Step) {
         const instant Now = instant(milliseconds(100 * Step));
@@ -35,9 +37,9 @@
         for (std::size_t Index = 0; Index < Count; ++Index) {
           const double Own =
               coldRate(Rate, Views[Index].Hash, Instances[Index], Instances);
-          if (!bearsRequest(Views[Index], Own, Now))
+          if (!admitsColdRequest(Views[Index], Own, Now))
             continue;
-          countColdRequest(Views[Index], Own, Now);
+          recordColdRequest(Views[Index], Own, Now);
           ++Sent.back();
         }
       }
@@ -48,21 +50,21 @@
         Total += Sent[Step];
         CHECK(InSecond <= Rate * 1.5 + 5);
       }
-      // It does get requests, or it would never be warm.
+      // The server does receive requests; otherwise it would never become warm.
       CHECK(Total >= 5);
     }
   }
 }
 
-// Symptom: a service that fails is asked twice as often as before. Sequence:
-// each instance repeats what failed. Cause: repeats that nobody counts.
-TEST(Pacing, RepeatsOfAllInstancesKeepTheBudget) {
+// Guards against unbounded retries: a failing service receives twice the
+// requests when each instance retries what failed.
+TEST(Pacing, SumOfRetriesStaysWithinBudget) {
   constexpr std::size_t Count = 9;
   constexpr double Ratio = 0.2;
   constexpr double Slack = 58;
   std::mt19937_64 Random(3);
-  std::vector<repeat_budget> Budgets(Count);
-  for (repeat_budget &Budget : Budgets)
+  std::vector<windowed_retry_budget> Budgets(Count);
+  for (windowed_retry_budget &Budget : Budgets)
     Budget.Bounds = {Ratio, seconds(10), Slack};
   std::vector<int> Requests;
   std::vector<int> Repeats;
@@ -70,13 +72,13 @@
     const instant Now = instant(seconds(1'000) + milliseconds(100 * Step));
     Requests.push_back(0);
     Repeats.push_back(0);
-    for (repeat_budget &Budget : Budgets) {
+    for (windowed_retry_budget &Budget : Budgets) {
       const auto Arrivals = static_cast<int>(Random() % 4);
       for (int Index = 0; Index < Arrivals; ++Index) {
         countRequest(Budget, "desk", Now);
         ++Requests.back();
-        // Everything fails, and is repeated as often as allowed.
-        while (takeRepeat(Budget, "desk", Count, Now))
+        // Every attempt fails and is retried as often as permitted.
+        while (tryAcquireRetry(Budget, "desk", Count, Now))
           ++Repeats.back();
       }
     }
@@ -90,10 +92,10 @@
   }
 }
 
-TEST(Pacing, AnEmptyWindowStillAllowsTheSlack) {
-  repeat_budget Budget;
+TEST(Pacing, SlackIsAvailableInEmptyWindow) {
+  windowed_retry_budget Budget;
   Budget.Bounds = {0.2, seconds(10), 18};
-  CHECK(takeRepeat(Budget, "desk", 9, instant(seconds(5))));
-  CHECK_FALSE(takeRepeat(Budget, "desk", 9, instant(seconds(5))));
-  CHECK(takeRepeat(Budget, "desk", 9, instant(seconds(30))));
+  CHECK(tryAcquireRetry(Budget, "desk", 9, instant(seconds(5))));
+  CHECK_FALSE(tryAcquireRetry(Budget, "desk", 9, instant(seconds(5))));
+  CHECK(tryAcquireRetry(Budget, "desk", 9, instant(seconds(30))));
 }
--- a/Tests/placement_test.cpp
+++ b/Tests/placement_test.cpp
@@ -1,5 +1,5 @@
-// Where the work on an object belongs: agreement without talk, few moves, and
-// regions by weight.
+// Placement of objects: agreement without communication, few moves, and region
+// weights.
 
 #include "Placement/placement.h"
 #include "Placement/region_weights.h"
@@ -29,10 +29,10 @@
 
 std::string firstFor(target_directory &Directory, int Object,
                      std::span<const double> Weights = {}) {
-  const place_rankings Rankings = rankTargets(
+  const candidate_rankings Rankings = rankTargets(
       Directory, Directory.ByService["desk"],
       {stableHash(std::to_string(Object)), {}, Weights, {}}, instant());
-  return Rankings.First.Targets[0]->Entry.Id;
+  return Rankings.Primary.Targets[0]->Entry.Id;
 }
 
 constexpr int Objects = 2'000;
@@ -43,7 +43,7 @@
 TEST_GROUP(Placement) {};
 // clang-format on
 
-TEST(Placement, InstancesAgreeWhateverOrderTheyLearnedServersIn) {
+TEST(Placement, RankingIsIndependentOfInsertionOrder) {
   target_directory One = makeDirectory(6, 6);
   target_directory Other;
   setDomains(Other, {{"a1", "a"}, {"b1", "b"}});
@@ -56,22 +56,22 @@
                 firstFor(Other, Object, Weights));
 }
 
-// Symptom: all callers are slow for seconds after one server was replaced.
-// Cause: a change of the list that moves objects of other servers as well,
-// which then are cold.
-TEST(Placement, AServerThatGoesMovesOnlyItsOwnObjects) {
+// Guards against a change of the server list that moves objects of other
+// servers as well: those objects are then cold, and all callers are slow for
+// seconds after one server is replaced.
+TEST(Placement, RemovalMovesOnlyObjectsOfRemovedServer) {
   target_directory Directory = makeDirectory(6, 6);
   const std::vector<double> Weights = {3, 0.4};
   std::map<int, std::string> Before;
   for (int Object = 0; Object < Objects; ++Object)
     Before[Object] = firstFor(Directory, Object, Weights);
-  removeTarget(Directory, "s3", /*ListIsSure=*/true);
+  removeTarget(Directory, "s3", /*ListIsComplete=*/true);
   for (int Object = 0; Object < Objects; ++Object)
     if (Before[Object] != "s3")
       CHECK_EQUAL(Before[Object], firstFor(Directory, Object, Weights));
 }
 
-TEST(Placement, WeightsGiveRegionsTheirShares) {
+TEST(Placement, DistributesObjectsByRegionWeight) {
   target_directory Directory = makeDirectory(4, 8);
   const std::vector<double> Slots = {16, 32};
   const std::vector<double> Weights = regionWeights(Slots, 0, 0.8);
@@ -86,8 +86,8 @@
   DOUBLES_EQUAL(Expected, InA / static_cast<double>(Objects), 0.04);
 }
 
-TEST(Placement, WorkBeyondARegionGoesToSlotsToSpare) {
-  // The third region has no slots to spare for others.
+TEST(Placement, ExcessWorkGoesToRegionsWithSpareSlots) {
+  // The third region has no spare slots for others.
   const std::vector<double> Slots = {12, 60, 36};
   const std::vector<double> Weights = regionWeights(Slots, 0, 1.0);
   CHECK(Weights[0] > 0);
@@ -95,20 +95,20 @@
   DOUBLES_EQUAL(0, Weights[2], 1e-9);
 }
 
-TEST(Placement, WithoutServersInTheRegionAllCountAlike) {
+TEST(Placement, WeightsAreEqualWithoutLocalServers) {
   const std::vector<double> Slots = {0, 8};
   for (double Weight : regionWeights(Slots, 0, 0.8))
     DOUBLES_EQUAL(1, Weight, 1e-9);
 }
 
-TEST(Placement, OnlyHomeRegionsAreRanked) {
+TEST(Placement, RanksOnlyHomeRegions) {
   target_directory Directory = makeDirectory(3, 3);
   const std::vector<std::string> Homes = {"b"};
   for (int Object = 0; Object < 100; ++Object) {
-    const place_rankings Rankings = rankTargets(
+    const candidate_rankings Rankings = rankTargets(
         Directory, Directory.ByService["desk"],
         {stableHash(std::to_string(Object)), Homes, {}, {}}, instant());
-    for (const ranking *Ranking : {&Rankings.First, &Rankings.Overflow}) {
+    for (const ranking *Ranking : {&Rankings.Primary, &Rankings.Secondary}) {
       LONGS_EQUAL(3, Ranking->Count);
       for (const target *Target : Ranking->targets())
         CHECK(Target->Region == "b");
--- a/Tests/quarantine_test.cpp
+++ b/Tests/quarantine_test.cpp
@@ -1,5 +1,5 @@
-// Requests that crash the servers which run them: what counts against a
-// content, what speaks for it, and how instances agree.
+// Quarantine of request contents that crash servers: what counts against a
+// content, what clears it, and how instances converge.
 
 #include "PeerMessages/peer_messages.h"
 #include "Quarantine/quarantine.h"
@@ -28,11 +28,11 @@
 
 bool isRefused(const quarantine &Quarantine, std::uint64_t Content,
                instant Now = Start) {
-  return !mayBeSent(Quarantine, Content, /*MakesTrials=*/false, Now);
+  return !isAdmitted(Quarantine, Content, /*SendsTrials=*/false, Now);
 }
 
-/// Tells all that one instance knows to another.
-void tellAll(quarantine &From, quarantine &To, instant Now) {
+/// Sends everything that one instance has recorded to another.
+void sendAllReports(quarantine &From, quarantine &To, instant Now) {
   for (std::size_t Left = From.Records.size(); Left > 0; --Left)
     takeReports(To, reportInTurn(From, Now), Now);
   for (auto News = reportNews(From, Now); !News.empty();
@@ -47,7 +47,7 @@
 TEST_GROUP(Quarantine) {};
 // clang-format on
 
-TEST(Quarantine, AContentIsRefusedAfterItsThirdCrash) {
+TEST(Quarantine, QuarantinesContentAfterThirdCrash) {
   quarantine Quarantine;
   crash(Quarantine, Deadly, 2);
   CHECK_FALSE(isRefused(Quarantine, Deadly));
@@ -55,90 +55,91 @@
   CHECK(Change && Change->IsQuarantined && Change->Crashes == 3);
   CHECK(isRefused(Quarantine, Deadly));
   CHECK_FALSE(isRefused(Quarantine, Popular));
-  CHECK(untilTrial(Quarantine, Deadly, Start) > duration::zero());
+  CHECK(timeUntilTrial(Quarantine, Deadly, Start) > duration::zero());
 }
 
-TEST(Quarantine, OneCrashThatManyRequestsSawCountsOnce) {
+TEST(Quarantine, CountsEachCrashedServerOnce) {
   quarantine Quarantine;
   for (int Request = 0; Request < 10; ++Request)
     noteCrash(Quarantine, Deadly, 99, Start);
   CHECK_FALSE(isRefused(Quarantine, Deadly));
 }
 
-// Failure: the servers of a site go down together, and the page that everybody
-// asks for is refused because it was under way at all of them.
-TEST(Quarantine, APopularPageOutlivesAnOutageOfItsServers) {
+// Guards against refusing a popular page because it was in flight at all
+// servers of a site when they failed together.
+TEST(Quarantine, PopularContentSurvivesServerOutage) {
   quarantine Quarantine;
   noteSoundAnswer(Quarantine, Popular, Start);
   crash(Quarantine, Popular, 5, Start + seconds(5));
   CHECK_FALSE(isRefused(Quarantine, Popular, Start + seconds(5)));
 }
 
-// Failure: an instance that hadn't asked for the page lately quarantines it and
-// persuades those that know better.
-TEST(Quarantine, AnInstanceThatWasAnsweredVoidsWhatOthersCounted) {
+// Guards against an instance that had no recent request for the page
+// quarantining it, and overriding instances that received valid responses.
+TEST(Quarantine, ValidResponseVoidsCrashesOfOtherInstances) {
   quarantine Quarantine;
   quarantine Other;
   noteSoundAnswer(Quarantine, Popular, Start);
   crash(Other, Popular, 3, Start + seconds(1));
   CHECK(isRefused(Other, Popular));
-  tellAll(Other, Quarantine, Start + seconds(2));
+  sendAllReports(Other, Quarantine, Start + seconds(2));
   CHECK_FALSE(isRefused(Quarantine, Popular));
-  tellAll(Quarantine, Other, Start + seconds(3));
+  sendAllReports(Quarantine, Other, Start + seconds(3));
   CHECK_FALSE(isRefused(Other, Popular));
-  // What was voided doesn't come back with an older report.
+  // Voided crashes are not restored by an older report.
   quarantine Late;
   crash(Late, Popular, 3, Start + seconds(1));
-  tellAll(Late, Other, Start + seconds(4));
+  sendAllReports(Late, Other, Start + seconds(4));
   CHECK_FALSE(isRefused(Other, Popular));
 }
 
-// Failure: an answer from long ago protects a content that crashes servers now.
-TEST(Quarantine, ASoundAnswerSpeaksForAContentForAWhileOnly) {
+// Guards against an old valid response protecting a content that crashes
+// servers now.
+TEST(Quarantine, ValidResponseExpires) {
   quarantine Quarantine;
   noteSoundAnswer(Quarantine, Deadly, Start);
-  const instant Later = Start + Quarantine.Policy.SoundTime;
+  const instant Later = Start + Quarantine.Policy.ValidResponseWindow;
   crash(Quarantine, Deadly, 3, Later);
   CHECK(isRefused(Quarantine, Deadly, Later));
 }
 
-TEST(Quarantine, CrashesOfSeveralInstancesAddUp) {
+TEST(Quarantine, CombinesCrashesOfSeveralInstances) {
   quarantine First;
   quarantine Second;
   noteCrash(First, Deadly, 1, Start);
   noteCrash(Second, Deadly, 2, Start);
   noteCrash(Second, Deadly, 3, Start);
-  tellAll(First, Second, Start);
-  tellAll(Second, First, Start);
+  sendAllReports(First, Second, Start);
+  sendAllReports(Second, First, Start);
   CHECK(isRefused(First, Deadly));
   CHECK(isRefused(Second, Deadly));
 }
 
-// Failure: a content that was quarantined wrongly is refused for ever, or every
-// instance tries a deadly one.
-TEST(Quarantine, OneInstanceTriesItMoreAndMoreRarely) {
+// Guards against refusing a wrongly quarantined content forever, and against
+// every instance sending trials with a deadly one.
+TEST(Quarantine, OneInstanceSendsTrialsAtGrowingIntervals) {
   quarantine Quarantine;
   crash(Quarantine, Deadly, 3);
-  const instant First = Start + Quarantine.Policy.FirstTrial;
-  CHECK_FALSE(mayBeSent(Quarantine, Deadly, true, First - milliseconds(1)));
-  CHECK_FALSE(mayBeSent(Quarantine, Deadly, false, First));
-  CHECK(mayBeSent(Quarantine, Deadly, true, First));
-  noteTrial(Quarantine, Deadly, First);
-  CHECK_FALSE(mayBeSent(Quarantine, Deadly, true, First + milliseconds(1)));
+  const instant First = Start + Quarantine.Policy.FirstTrialDelay;
+  CHECK_FALSE(isAdmitted(Quarantine, Deadly, true, First - milliseconds(1)));
+  CHECK_FALSE(isAdmitted(Quarantine, Deadly, false, First));
+  CHECK(isAdmitted(Quarantine, Deadly, true, First));
+  recordTrial(Quarantine, Deadly, First);
+  CHECK_FALSE(isAdmitted(Quarantine, Deadly, true, First + milliseconds(1)));
   noteCrash(Quarantine, Deadly, 99, First + seconds(1));
   const duration Next =
-      Quarantine.Policy.FirstTrial * Quarantine.Policy.TrialGrowth;
-  CHECK_FALSE(mayBeSent(Quarantine, Deadly, true, First + Next));
-  CHECK(mayBeSent(Quarantine, Deadly, true, First + seconds(1) + Next));
+      Quarantine.Policy.FirstTrialDelay * Quarantine.Policy.TrialDelayFactor;
+  CHECK_FALSE(isAdmitted(Quarantine, Deadly, true, First + Next));
+  CHECK(isAdmitted(Quarantine, Deadly, true, First + seconds(1) + Next));
   const auto Change =
       noteSoundAnswer(Quarantine, Deadly, First + seconds(2) + Next);
   CHECK(Change && !Change->IsQuarantined);
-  CHECK(mayBeSent(Quarantine, Deadly, false, First + seconds(2) + Next));
+  CHECK(isAdmitted(Quarantine, Deadly, false, First + seconds(2) + Next));
 }
 
-// Failure: callers who crash servers with ever new requests push out the
-// content that is known to be deadly.
-TEST(Quarantine, ANewSuspicionDisplacesNoQuarantine) {
+// Guards against callers displacing the record of a deadly content by crashing
+// servers with ever new requests.
+TEST(Quarantine, SuspicionDoesNotDisplaceQuarantine) {
   quarantine Quarantine;
   crash(Quarantine, Deadly, 3);
   for (std::uint64_t Content = 1'000; Content < 3'000; ++Content)
@@ -153,24 +154,24 @@
   UNSIGNED_LONGS_EQUAL(Full.Policy.MaxRecords, countQuarantined(Full));
 }
 
-// Failure: instances tell each other of a record for ever, so that it never
-// ends.
-TEST(Quarantine, ARecordEndsEverywhereAtItsAge) {
+// Guards against instances refreshing a record with each other's reports, so
+// that it never expires.
+TEST(Quarantine, RecordExpiresOnAllInstances) {
   quarantine First;
   quarantine Second;
   crash(First, Deadly, 3);
-  tellAll(First, Second, Start + minutes(9));
+  sendAllReports(First, Second, Start + minutes(9));
   CHECK(isRefused(Second, Deadly));
-  const instant End = Start + First.Policy.RecordLife;
+  const instant End = Start + First.Policy.RecordLifetime;
   forgetOldRecords(First, End);
   CHECK(First.Records.empty());
-  tellAll(Second, First, End);
+  sendAllReports(Second, First, End);
   CHECK(First.Records.empty());
   forgetOldRecords(Second, End);
   CHECK(Second.Records.empty());
 }
 
-TEST(Quarantine, ReportsThatMakeNoSenseChangeNothing) {
+TEST(Quarantine, IgnoresImplausibleReports) {
   quarantine Quarantine;
   crash_report TooMany{Deadly, 0, {}, {}};
   for (std::uint64_t Server = 0; Server <= MaxCrashedServers; ++Server)
@@ -186,7 +187,7 @@
   CHECK(Quarantine.Records.empty());
 }
 
-TEST(Quarantine, ContentsDifferByEachOfTheirParts) {
+TEST(Quarantine, FingerprintCoversAllPartsOfContent) {
   const request_content Content{"GET", "h", "/x/y?z", "17", "me", "body"};
   const std::uint64_t Hash = contentHash(Content);
   CHECK(Hash == contentHash(Content));
@@ -199,7 +200,7 @@
   CHECK(Hash != contentHash({"GET", "h", "/x/y?z", "17m", "e", "body"}));
 }
 
-TEST(Quarantine, ReportsTravelInDatagrams) {
+TEST(Quarantine, EncodesReportsInDatagrams) {
   const crash_report Report{Deadly, 4, {1, 2, 3}, seconds(7)};
   const auto Got = decodeDatagram(encodeDatagram({"n1", "c", {}, {Report}}));
   CHECK(Got.has_value());
@@ -214,16 +215,16 @@
 constexpr duration Step = milliseconds(10);
 constexpr duration TickPeriod = milliseconds(150);
 constexpr duration ProbePeriod = milliseconds(500);
-constexpr int NewsReceivers = 2;
+constexpr int AnnouncementReceivers = 2;
 constexpr std::size_t HeaderBytes = 28;
-/// In which instances have to know of a third crash.
-constexpr duration Touch = seconds(4);
-/// What an instance may send for control in a second.
-constexpr std::size_t MostBytes = 4'000;
-
-/// Instances that tell each other, over links that lose messages.
-struct told_fleet {
-  explicit told_fleet(std::size_t Size)
+/// Time within which all instances must have a third crash.
+constexpr duration ConvergenceTime = seconds(4);
+/// Bytes that an instance may send for control in a second.
+constexpr std::size_t MaxBytesPerSecond = 4'000;
+
+/// Instances that exchange reports over links with message loss.
+struct simulated_fleet {
+  explicit simulated_fleet(std::size_t Size)
       : Instances(Size), BytesBySecond(Size) {}
 
   struct message {
@@ -268,7 +269,7 @@
       for (std::size_t Counting : countingInstances(Suspicion.Content))
         if (Counting != Index)
           send({Counting, {Suspicion}, false, Index});
-    for (int Receiver = 0; Receiver < NewsReceivers; ++Receiver)
+    for (int Receiver = 0; Receiver < AnnouncementReceivers; ++Receiver)
       send({other(), reportNews(Instances[Index], Now), false, Index});
   }
 
@@ -306,7 +307,7 @@
     });
   }
 
-  [[nodiscard]] std::size_t mostBytesInASecond() const {
+  [[nodiscard]] std::size_t maxBytesInASecond() const {
     std::size_t Most = 0;
     for (const auto &Bytes : BytesBySecond)
       for (std::size_t Second : Bytes)
@@ -322,8 +323,9 @@
   std::multimap<instant, message> UnderWay;
 };
 
-/// A crash at one instance, and the requests that it took with it.
-void crashAt(told_fleet &Fleet, std::uint64_t Server) {
+/// Records a crash at one instance, with the other requests in flight at the
+/// crashed server.
+void crashAt(simulated_fleet &Fleet, std::uint64_t Server) {
   constexpr std::uint64_t Bystanders = 3;
   quarantine &Quarantine = Fleet.Instances[Fleet.other()];
   noteCrash(Quarantine, Deadly, Server, Fleet.Now);
@@ -333,29 +335,30 @@
 
 } // namespace
 
-// Failure: an instance that the news hasn't reached sends the request on,
-// seconds after its third crash. Three instances see one crash each, every
-// crash takes bystanders with it, and one in fifty messages is lost.
-TEST(Quarantine, AllInstancesKnowWithinTheTimeThatTheyHave) {
+// Guards against an instance that has not received the announcement sending the
+// request on, seconds after its third crash. Three instances observe one crash
+// each, every crash affects bystanders too, and one in fifty messages is lost.
+TEST(Quarantine, AllInstancesConvergeInTime) {
   for (std::size_t Size : {std::size_t{2}, std::size_t{11}, std::size_t{84},
                            std::size_t{295}, std::size_t{1'900}}) {
-    told_fleet Fleet(Size);
+    simulated_fleet Fleet(Size);
     for (std::uint64_t Server = 1; Server <= 3; ++Server) {
       crashAt(Fleet, Server);
       for (int Index = 0; Index < 10; ++Index)
         Fleet.step();
     }
     const instant Third = Fleet.Now;
-    while (!Fleet.allRefuse() && Fleet.Now < Third + 2 * Touch)
+    while (!Fleet.allRefuse() && Fleet.Now < Third + 2 * ConvergenceTime)
       Fleet.step();
-    CHECK_COMPARE((Fleet.Now - Third).count(), <=, Touch.count());
-    CHECK_COMPARE(Fleet.mostBytesInASecond(), <=, MostBytes);
+    CHECK_COMPARE((Fleet.Now - Third).count(), <=, ConvergenceTime.count());
+    CHECK_COMPARE(Fleet.maxBytesInASecond(), <=, MaxBytesPerSecond);
   }
 }
 
-// Failure: news of bystanders keep the news of the deadly content waiting.
-TEST(Quarantine, AStormOfCrashesDoesNotDelayTheNews) {
-  told_fleet Fleet(295);
+// Guards against reports of bystanders delaying the announcement of the deadly
+// content.
+TEST(Quarantine, CrashStormDoesNotDelayAnnouncements) {
+  simulated_fleet Fleet(295);
   for (std::uint64_t Server = 10; Server < 90; ++Server) {
     const std::uint64_t Bystander = 1'000 * Server;
     for (std::uint64_t Index = 0; Index < 6; ++Index)
@@ -366,8 +369,8 @@
   for (std::uint64_t Server = 1; Server <= 3; ++Server)
     crashAt(Fleet, Server);
   const instant Third = Fleet.Now;
-  while (!Fleet.allRefuse() && Fleet.Now < Third + 2 * Touch)
+  while (!Fleet.allRefuse() && Fleet.Now < Third + 2 * ConvergenceTime)
     Fleet.step();
-  CHECK_COMPARE((Fleet.Now - Third).count(), <=, Touch.count());
-  CHECK_COMPARE(Fleet.mostBytesInASecond(), <=, MostBytes);
+  CHECK_COMPARE((Fleet.Now - Third).count(), <=, ConvergenceTime.count());
+  CHECK_COMPARE(Fleet.maxBytesInASecond(), <=, MaxBytesPerSecond);
 }
--- a/Tests/region_shift_test.cpp
+++ b/Tests/region_shift_test.cpp
@@ -1,6 +1,5 @@
-// Which regions the work of one region's callers runs in, as its backend
-// servers see it arrive: at most a bounded share changes from one window to the
-// next.
+// The regions in which one region's work runs, as observed by arrivals at the
+// backend servers: at most a bounded share changes between consecutive windows.
 
 #include "Steering/steering.h"
 
@@ -18,14 +17,15 @@
 constexpr duration Window = seconds(2);
 /// Share of a region's work that may change its region between windows.
 constexpr double LargestShift = 0.15;
-/// From the caller's request to its arrival at the server, on a new connection.
-constexpr duration WayWithinRegion = milliseconds(3);
-constexpr duration WayBetweenRegions = milliseconds(105);
+/// Delay from the caller's request to its arrival at the server, on a new
+/// connection.
+constexpr duration DelayWithinRegion = milliseconds(3);
+constexpr duration DelayBetweenRegions = milliseconds(105);
 constexpr duration Step = milliseconds(1);
 constexpr int RequestsPerStep = 2;
 constexpr int ObjectsOfRegion = 1'100;
 constexpr int SlotsPerServer = 6;
-/// A region with a third of its even share of the servers, two with more.
+/// One region has a third of its even share of the servers, two have more.
 constexpr std::array<int, 3> ServersByRegion = {33, 137, 163};
 
 /// Requests by window of arrival and region of the server.
@@ -77,14 +77,15 @@
       .value();
 }
 
-void noteArrival(arrivals &Arrivals, const steering &Steering,
-                 const target &Target, instant Sent) {
+void recordArrival(arrivals &Arrivals, const steering &Steering,
+                   const target &Target, instant Sent) {
   const bool IsNear = Target.RegionIndex == Steering.OwnRegion;
-  const instant Arrived = Sent + (IsNear ? WayWithinRegion : WayBetweenRegions);
+  const instant Arrived =
+      Sent + (IsNear ? DelayWithinRegion : DelayBetweenRegions);
   ++Arrivals[Arrived.time_since_epoch() / Window][Target.RegionIndex];
 }
 
-/// Sends requests of the region's callers, whose servers answer at once and
+/// Sends requests of the region's callers. The servers respond at once and
 /// report \p Load.
 void sendUntil(arrivals &Arrivals, steering &Steering, instant From,
                instant Until, const target_load &Load = {}) {
@@ -96,7 +97,7 @@
       const auto Chosen = chooseTarget(Steering, Plan, Now);
       if (!Chosen)
         continue;
-      noteArrival(Arrivals, Steering, **Chosen, Now);
+      recordArrival(Arrivals, Steering, **Chosen, Now);
       if (Load.Slots > 0)
         noteServerLoad(Steering, **Chosen, Load, Now);
     }
@@ -109,7 +110,7 @@
   return Sum;
 }
 
-/// Share of the requests that run in another region than those of the window
+/// Share of the requests that run in a different region than in the window
 /// before.
 double shiftBetween(std::map<std::size_t, double> Before,
                     std::map<std::size_t, double> After) {
@@ -129,20 +130,20 @@
   return Largest;
 }
 
-/// Every server of the region is full and has a queue, so that requests for its
-/// objects go to their other place.
+/// Fills every server of the region and its queue, so that requests for its
+/// objects go to their secondary.
 void fillRegion(steering &Steering, instant Now) {
   for (const auto &[Id, Target] : Steering.Targets.ById) {
     if (Target->RegionIndex != Steering.OwnRegion)
       continue;
-    Target->MeanTime = milliseconds(700);
-    noteLoad(*Target, {SlotsPerServer, 4 * SlotsPerServer, SlotsPerServer},
-             Now);
+    Target->MeanResponseTime = milliseconds(700);
+    recordLoadReport(*Target,
+                     {SlotsPerServer, 4 * SlotsPerServer, SlotsPerServer}, Now);
   }
 }
 
-/// Servers by region that the second attempts of all objects go to, their first
-/// ones having failed.
+/// Counts by region the servers of the second attempts of all objects, after
+/// their first attempts failed.
 std::map<std::size_t, double> secondAttempts(steering &Steering) {
   std::map<std::size_t, double> Counts;
   for (int Object = 0; Object < ObjectsOfRegion; ++Object) {
@@ -161,9 +162,9 @@
 TEST_GROUP(RegionShift) {};
 // clang-format on
 
-// The callers of a region stop at once, and what still arrives is what was
-// under way to other regions.
-TEST(RegionShift, WorkOfARegionWithRoomStaysThereWhenItsTrafficStops) {
+// Guards against a shift of regions when the callers of a region stop at once,
+// so that what still arrives is what was in flight to other regions.
+TEST(RegionShift, RegionWithCapacityKeepsWorkWhenTrafficStops) {
   for (const std::size_t Region : {1U, 2U}) {
     steering Steering = makeSteering(Region);
     arrivals Arrivals;
@@ -173,9 +174,9 @@
   }
 }
 
-// Servers of a region with room fail requests, and the second attempts leave
-// the region together.
-TEST(RegionShift, SecondAttemptsStayInARegionWithRoom) {
+// Guards against second attempts leaving a region with capacity together when
+// its servers fail requests.
+TEST(RegionShift, SecondAttemptsStayInRegionWithCapacity) {
   for (const std::size_t Region : {1U, 2U}) {
     steering Steering = makeSteering(Region);
     const auto Counts = secondAttempts(Steering);
@@ -183,9 +184,9 @@
   }
 }
 
-// The servers of a region fill up within a moment, and its work moves to other
-// regions in one step.
-TEST(RegionShift, FullServersOfARegionWithRoomMoveABoundedShare) {
+// Guards against moving a region's work to other regions in one step when its
+// servers fill up at once.
+TEST(RegionShift, FullRegionMovesBoundedShare) {
   for (const std::size_t Region : {1U, 2U}) {
     steering Steering = makeSteering(Region);
     arrivals Arrivals;
@@ -206,8 +207,9 @@
   }
 }
 
-// All servers of a region are gone, and one other region gets all of its work.
-TEST(RegionShift, WorkOfARegionWithoutServersIsSharedBySlots) {
+// Guards against one other region receiving all work of a region that has lost
+// all its servers.
+TEST(RegionShift, DistributesWorkOfRegionWithoutServersBySlots) {
   steering Steering = makeSteering(1);
   for (const auto &[Id, Target] : Steering.Targets.ById)
     if (Target->RegionIndex == 1)
@@ -218,8 +220,9 @@
   DOUBLES_EQUAL(33.0 / (33 + 163), Smaller, 0.05);
 }
 
-// The same while the list doesn't know of it yet: failure domains evacuated.
-TEST(RegionShift, WorkOfAnEvacuatedRegionIsSharedBySlots) {
+// The same while the list still contains the servers, with their failure domain
+// evacuated.
+TEST(RegionShift, DistributesWorkOfEvacuatedRegionBySlots) {
   steering Steering = makeSteering(1);
   setEvacuated(Steering.Targets, "b1", true, {}, instant());
   arrivals Arrivals;
@@ -228,9 +231,10 @@
   DOUBLES_EQUAL(33.0 / (33 + 163), Smaller, 0.05);
 }
 
-// The servers of a region fill, its work moves elsewhere in a few large steps,
-// and is still there when they have emptied and its traffic stops.
-TEST(RegionShift, WorkFollowsTheLoadOfTheServersInBoundedSteps) {
+// Guards against a region's work moving away in a few large steps when its
+// servers fill, and still running elsewhere when they have emptied and its
+// traffic stops.
+TEST(RegionShift, SpilloverFollowsLoadInBoundedSteps) {
   constexpr target_load Busy = {SlotsPerServer, 2, SlotsPerServer};
   constexpr target_load Easy = {1, 0, SlotsPerServer};
   for (const std::size_t Region : {1U, 2U}) {
@@ -239,16 +243,16 @@
     sendUntil(Arrivals, Steering, instant(), instant(seconds(12)), Busy);
     const double AwayWhenBusy =
         1 - Arrivals.at(5)[Region] / total(Arrivals.at(5));
-    CHECK_COMPARE(AwayWhenBusy, >, SpreadStep);
+    CHECK_COMPARE(AwayWhenBusy, >, SpilloverStep);
     sendUntil(Arrivals, Steering, instant(seconds(12)), instant(seconds(30)),
               Easy);
     CHECK_COMPARE(largestShift(Arrivals), <=, LargestShift);
   }
 }
 
-// Servers that are well used but have room count as busy, and the region's work
-// is elsewhere when its traffic stops.
-TEST(RegionShift, WorkOfAWellUsedRegionStaysThereWhenItsTrafficStops) {
+// Guards against treating servers with high utilization but free capacity as
+// busy, so that the region's work runs elsewhere when its traffic stops.
+TEST(RegionShift, HighlyUtilizedRegionKeepsWorkWhenTrafficStops) {
   constexpr target_load WellUsed = {SlotsPerServer - 1, 0, SlotsPerServer};
   for (const std::size_t Region : {1U, 2U}) {
     steering Steering = makeSteering(Region);
--- a/Tests/region_spread_test.cpp
+++ b/Tests/region_spread_test.cpp
@@ -1,4 +1,5 @@
-// How much of a region's work is spread over the others as its servers fill.
+// The share of a region's work that spills over to other regions as its servers
+// fill.
 
 #include "Placement/region_spread.h"
 
@@ -14,23 +15,23 @@
 
 constexpr duration Tick = milliseconds(100);
 constexpr int Slots = 6;
-/// More than the reports that count.
+/// More reports than the moving average effectively covers.
 constexpr int ManyReports = 1'000;
 
-void settleAt(region_spread &Spread, int Requests) {
+void settleAt(region_spillover &Spread, int Requests) {
   for (int Report = 0; Report < ManyReports; ++Report)
-    noteOccupation(Spread, Requests, Slots);
+    recordUtilization(Spread, Requests, Slots);
 }
 
-/// The largest change of the share within any window as long as the period of
-/// steps, over a time in which the servers fill and empty.
-double largestChange(region_spread &Spread, instant From, instant Until) {
+/// The largest change of the share within any window as long as the step
+/// period, while the servers fill and empty.
+double largestChange(region_spillover &Spread, instant From, instant Until) {
   double Largest = 0;
   std::deque<double> Shares;
   for (instant Now = From; Now < Until; Now += Tick) {
-    updateSpread(Spread, Now);
+    updateSpillover(Spread, Now);
     Shares.push_back(Spread.Share);
-    if (Shares.size() > static_cast<std::size_t>(SpreadStepPeriod / Tick))
+    if (Shares.size() > static_cast<std::size_t>(SpilloverStepPeriod / Tick))
       Shares.pop_front();
     const auto [Least, Most] =
         std::minmax_element(Shares.begin(), Shares.end());
@@ -45,33 +46,35 @@
 TEST_GROUP(RegionSpread) {};
 // clang-format on
 
-TEST(RegionSpread, NothingLeavesWhileTheServersHaveRoom) {
-  region_spread Spread;
+TEST(RegionSpread, NoSpilloverWhileServersHaveCapacity) {
+  region_spillover Spread;
   settleAt(Spread, Slots);
   largestChange(Spread, instant(), instant(seconds(60)));
   DOUBLES_EQUAL(0, Spread.Share, 0);
 }
 
-// Servers fill or empty at once, and the work moves with them in one step.
-TEST(RegionSpread, NoWindowHasMoreThanOneStep) {
-  region_spread Spread;
+// Guards against moving the work in one step when servers fill or empty at
+// once.
+TEST(RegionSpread, AtMostOneStepPerWindow) {
+  region_spillover Spread;
   settleAt(Spread, 4 * Slots);
   const double WhenFilling =
       largestChange(Spread, instant(), instant(seconds(30)));
-  DOUBLES_EQUAL(LargestSpread, Spread.Share, 1e-9);
+  DOUBLES_EQUAL(MaxSpillover, Spread.Share, 1e-9);
   settleAt(Spread, 0);
   const double WhenEmptying =
       largestChange(Spread, instant(seconds(30)), instant(seconds(60)));
   DOUBLES_EQUAL(0, Spread.Share, 1e-9);
-  DOUBLES_EQUAL(SpreadStep, WhenFilling, 1e-9);
-  DOUBLES_EQUAL(SpreadStep, WhenEmptying, 1e-9);
+  DOUBLES_EQUAL(SpilloverStep, WhenFilling, 1e-9);
+  DOUBLES_EQUAL(SpilloverStep, WhenEmptying, 1e-9);
 }
 
-// The load swings about a threshold, and objects move away and back each time.
-TEST(RegionSpread, BetweenTheThresholdsTheShareStays) {
-  region_spread Spread;
+// Guards against objects moving away and back each time that the load
+// oscillates around a threshold.
+TEST(RegionSpread, ShareIsConstantBetweenThresholds) {
+  region_spillover Spread;
   settleAt(Spread, 2 * Slots);
-  updateSpread(Spread, instant());
+  updateSpillover(Spread, instant());
   const double Before = Spread.Share;
   settleAt(Spread, Slots - 1);
   CHECK(Before > 0);
@@ -80,8 +83,8 @@
   DOUBLES_EQUAL(Before, Spread.Share, 0);
 }
 
-TEST(RegionSpread, AReportWithoutSlotsSaysNothing) {
-  region_spread Spread;
-  noteOccupation(Spread, 3, 0);
+TEST(RegionSpread, IgnoresReportWithoutSlots) {
+  region_spillover Spread;
+  recordUtilization(Spread, 3, 0);
   DOUBLES_EQUAL(0, Spread.Occupation, 0);
 }
--- a/Tests/route_table_test.cpp
+++ b/Tests/route_table_test.cpp
@@ -1,4 +1,4 @@
-// Routes, splits by weight, and configurations that never step back.
+// Routes, splits by weight, and rejection of older configurations.
 
 #include "RouteTable/route_table.h"
 #include "Steering/steering.h"
@@ -35,7 +35,7 @@
 TEST_GROUP(RouteTable) {};
 // clang-format on
 
-TEST(RouteTable, TheLongestPrefixWins) {
+TEST(RouteTable, LongestPrefixMatches) {
   const route_table Table = makeRouteTable(makeConfiguration(
       1, {makeRoute("/a/", {{"one", 1}}), makeRoute("/a/b/", {{"two", 1}}),
           makeRoute("/", {{"rest", 1}})}));
@@ -45,10 +45,10 @@
   CHECK(findRoute(Table, "other.example", "/a/") == std::string_view::npos);
 }
 
-// Symptom: a part of a split gets a share far off its weight. Sequence: a few
-// objects make up most requests, and each goes to one part. Cause: a split by
-// object alone follows the objects' popularity.
-TEST(RouteTable, ASplitKeepsItsWeightsWhateverIsPopular) {
+// Guards against a split by object alone, which follows the objects'
+// popularity: if a few objects make up most requests and each maps to one part,
+// the shares deviate far from the weights.
+TEST(RouteTable, SplitKeepsWeightsUnderSkewedPopularity) {
   for (std::uint64_t Seed = 1; Seed <= 20; ++Seed) {
     route_table Table = makeRouteTable(
         makeConfiguration(1, {makeRoute("/a/", {{"one", 90}, {"two", 10}})}));
@@ -56,22 +56,22 @@
     std::map<std::string, int> Sent;
     constexpr int Requests = 400;
     for (int Index = 0; Index < Requests; ++Index) {
-      // Three objects ask for most.
+      // Three objects receive most requests.
       const std::uint64_t Object = Random() % 4 != 0 ? Random() % 3 : Random();
-      ++Sent[choosePart(Table, 0, stableHash(std::to_string(Object)))];
+      ++Sent[chooseService(Table, 0, stableHash(std::to_string(Object)))];
     }
     CHECK(std::abs(Sent["two"] / static_cast<double>(Requests) - 0.1) < 0.05);
   }
 }
 
-TEST(RouteTable, AnObjectStaysWithItsPartWhileTheWeightsAllow) {
+TEST(RouteTable, ObjectKeepsItsPartWithinTolerance) {
   route_table Table = makeRouteTable(
       makeConfiguration(1, {makeRoute("/a/", {{"one", 50}, {"two", 50}})}));
   std::map<std::uint64_t, std::map<std::string, int>> ByObject;
   for (int Index = 0; Index < 4'000; ++Index) {
     const std::uint64_t Object = static_cast<std::uint64_t>(Index) % 200;
     ++ByObject[Object]
-              [choosePart(Table, 0, stableHash(std::to_string(Object)))];
+              [chooseService(Table, 0, stableHash(std::to_string(Object)))];
   }
   int Moved = 0;
   for (const auto &[Object, Parts] : ByObject)
@@ -81,9 +81,10 @@
   CHECK(Moved < 400);
 }
 
-// Symptom: a caller sees an old route again. Sequence: a list that was read
-// before a change arrives after it. Cause: applying whatever comes last.
-TEST(RouteTable, AnOlderConfigurationIsNotApplied) {
+// Guards against applying whichever configuration arrives last: a list that was
+// read before a change may arrive after it, and a caller sees an old route
+// again.
+TEST(RouteTable, IgnoresOlderConfiguration) {
   steering Steering;
   CHECK(applyConfiguration(
       Steering, makeConfiguration(7, {makeRoute("/new/", {{"one", 1}})})));
--- a/Tests/steering_test.cpp
+++ b/Tests/steering_test.cpp
@@ -1,4 +1,5 @@
-// Decisions on requests: at most once, room by predicted wait, and refusals.
+// Steering decisions: at-most-once execution, capacity by predicted wait, and
+// refusals.
 
 #include "Steering/steering.h"
 
@@ -60,16 +61,16 @@
 TEST_GROUP(Steering) {};
 // clang-format on
 
-TEST(Steering, WithoutAConfigurationNothingIsSaidOfRoutes) {
+TEST(Steering, RefusesRequestsWithoutConfiguration) {
   steering Steering;
   const auto Plan = planRequest(Steering, {"h", "/x/", "", "id", {}, {}});
   CHECK(Plan.error() == refusal::NotConfigured);
 }
 
-// Symptom: a booking is made twice. Sequence: a request is sent, its connection
-// breaks without an answer, it is sent again. Cause: repeating what may have
-// run.
-TEST(Steering, WhatMayHaveRunIsNotRepeatedUnlessIdempotent) {
+// Guards against duplicate execution: a request is sent, its connection breaks
+// without a response, and the request is retried although it may have run. The
+// symptom is a booking that is made twice.
+TEST(Steering, RetriesPossiblyExecutedRequestOnlyIfIdempotent) {
   for (work_class Class : {work_class::Idempotent, work_class::NonIdempotent}) {
     steering Steering = makeSteering(4, Class);
     request_plan Plan = plan(Steering);
@@ -82,14 +83,14 @@
   }
 }
 
-TEST(Steering, ARequestReachesNoMoreServersThanItsRouteAllows) {
+TEST(Steering, LimitsAttemptsToRouteMaximum) {
   steering Steering = makeSteering(6, work_class::Idempotent, 2);
   request_plan Plan = plan(Steering);
   Plan.Arrivals = 2;
   CHECK_FALSE(mayRepeat(Steering, Plan, instant()));
 }
 
-TEST(Steering, AServerThatFailedARequestIsNotAskedAgain) {
+TEST(Steering, ExcludesTriedServerFromRetry) {
   steering Steering = makeSteering(2, work_class::Idempotent);
   request_plan Plan = plan(Steering);
   target *First = chooseTarget(Steering, Plan, instant()).value();
@@ -97,30 +98,31 @@
   CHECK(chooseTarget(Steering, Plan, instant()).value() != First);
 }
 
-// Pattern: overload. Symptom: callers are refused while servers that are warm
-// for their objects could serve them in time; the rest is pushed to cold
-// servers and everybody gets slower. Cause: a server taken for full once its
-// slots are. Grounds: a cold run takes longer than the objective in any case,
-// so the first place is used until its wait is longer by a whole objective.
-TEST(Steering, AWarmServersQueueIsUsedAsLongAsItPays) {
+// Guards against premature overflow under overload: a server is treated as full
+// once its slots are occupied, so callers are refused although servers that are
+// warm for their objects could serve them in time; other requests move to cold
+// servers and all requests slow down. A cold run takes longer than the
+// objective in any case, so the primary is used until its wait is longer by a
+// whole objective.
+TEST(Steering, QueuesAtPrimaryUntilSecondaryIsFaster) {
   steering Steering = makeSteering(8, work_class::Idempotent);
   const request_plan Plan = plan(Steering);
   target &First = *chooseTarget(Steering, Plan, instant()).value();
-  First.MeanTime = milliseconds(250);
-  // Four slots and 250 ms each: a place in the queue costs 62 ms.
+  First.MeanResponseTime = milliseconds(250);
+  // Four slots at 250 ms each: one queue position costs 62 ms.
   for (int Sent = 0; Sent < 4 + 8; ++Sent) {
     POINTERS_EQUAL(&First, chooseTarget(Steering, Plan, instant()).value());
-    noteSent(First, instant());
+    recordAttemptStart(First, instant());
   }
-  noteSent(First, instant());
+  recordAttemptStart(First, instant());
   target &Second = *chooseTarget(Steering, Plan, instant()).value();
   CHECK(&Second != &First);
 }
 
-// Pattern: hot object under overload. Symptom: one object's work spreads over
-// all servers and pushes out what is warm there. Cause: no bound on the servers
-// of an object.
-TEST(Steering, AHotObjectIsRefusedRatherThanSpread) {
+// Guards against a hot object spreading over all servers under overload and
+// evicting what is warm there, because the number of servers of an object is
+// unbounded.
+TEST(Steering, RefusesHotObjectBeyondItsCandidates) {
   steering Steering = makeSteering(12, work_class::Idempotent);
   const request_plan Plan = plan(Steering);
   std::set<std::string> Used;
@@ -132,40 +134,40 @@
       ++Refused;
       continue;
     }
-    (*Chosen)->MeanTime = milliseconds(250);
-    noteSent(**Chosen, instant());
+    (*Chosen)->MeanResponseTime = milliseconds(250);
+    recordAttemptStart(**Chosen, instant());
     Used.insert((*Chosen)->Entry.Id);
   }
   LONGS_EQUAL(2, Used.size());
   CHECK(Refused > 100);
 }
 
-// Pattern: two kinds of request compete. Symptom: the more urgent one is
-// refused as often as the other. Cause: the same room for both.
-TEST(Steering, UrgentRequestsFindRoomWhereOthersDoNot) {
+// Guards against requests of different priority competing for the same
+// capacity, so that urgent ones are refused as often as the others.
+TEST(Steering, AdmitsUrgentRequestsAtHigherLoad) {
   steering Steering = makeSteering(2, work_class::Idempotent);
-  Steering.LeastUrgent = 2;
+  Steering.LeastUrgentPriority = 2;
   request_plan Urgent = plan(Steering);
   request_plan Other = Urgent;
   Urgent.Priority = 0;
   Other.Priority = 2;
   for (const auto &[Id, Target] : Steering.Targets.ById) {
-    Target->MeanTime = milliseconds(400);
+    Target->MeanResponseTime = milliseconds(400);
     for (int Sent = 0; Sent < 12; ++Sent)
-      noteSent(*Target, instant());
+      recordAttemptStart(*Target, instant());
   }
   CHECK_FALSE(chooseTarget(Steering, Other, instant()).has_value());
   CHECK(chooseTarget(Steering, Urgent, instant()).has_value());
 }
 
-TEST(Steering, TooLittleTimeIsRefusedAtOnce) {
+TEST(Steering, RefusesRequestTooCloseToDeadline) {
   steering Steering = makeSteering(2, work_class::Idempotent);
   const request_plan Plan = plan(Steering);
   const instant Late = Plan.Deadline - milliseconds(10);
   CHECK(chooseTarget(Steering, Plan, Late).error() == refusal::TooLate);
 }
 
-TEST(Steering, TheEarlierOfRouteAndCallerEndsARequest) {
+TEST(Steering, DeadlineIsEarlierOfRouteAndCallerTimeout) {
   steering Steering = makeSteering(2, work_class::Idempotent);
   CHECK(plan(Steering).Deadline == instant(seconds(2)));
   const auto Short = planRequest(
@@ -173,9 +175,9 @@
   CHECK(Short->Deadline == instant(milliseconds(700)));
 }
 
-// Symptom: those who were refused together come back together and are refused
-// again. Cause: the same time to come back for all.
-TEST(Steering, TimesToComeBackAreSpreadAndLeaveTimeToServe) {
+// Guards against synchronized retries: with the same Retry-After time for all,
+// callers that were refused together return together and are refused again.
+TEST(Steering, RetryAfterIsJitteredWithinRemainingTime) {
   steering Steering = makeSteering(2, work_class::Idempotent);
   const request_plan Plan = plan(Steering);
   std::set<std::int64_t> Times;
@@ -189,9 +191,9 @@
   CHECK(Times.size() > 15);
 }
 
-// Pattern: cold caches. Symptom: a server that is cold is overrun by the
-// objects that belong to it. Cause: placement that doesn't know of its state.
-TEST(Steering, AColdServersObjectsGoToTheirNextPlace) {
+// Guards against overloading a cold server with the objects placed on it
+// because placement ignores its cold start.
+TEST(Steering, SendsObjectsOfColdServerToNextCandidate) {
   steering Steering = makeSteering(6, work_class::Idempotent);
   const request_plan Plan = plan(Steering);
   target &First = *chooseTarget(Steering, Plan, instant()).value();
@@ -208,11 +210,11 @@
   CHECK(AtFirst <= 1);
 }
 
-// Symptom: a request is sent to the same server again and fails again; a server
-// that is cut off goes on getting requests. Sequence: a kept connection ends
-// hundreds of milliseconds after the request was sent. Cause: taking each end
-// of a kept connection for the close of an idle one.
-TEST(Steering, OnlyAnImmediateEndOfAKeptConnectionSaysNothingOfTheServer) {
+// Guards against treating every end of a reused connection as an idle close. If
+// a reused connection ends hundreds of milliseconds after the request was sent,
+// the server failed or is cut off; the request must not be sent to it again,
+// and it must not keep receiving requests.
+TEST(Steering, OnlyImmediateCloseOfReusedConnectionIsNoFailure) {
   const duration Soon = milliseconds(70);
   const duration Late = milliseconds(390);
   CHECK(resultOf({false, true, false, Soon}) == attempt_result::Cancelled);
@@ -222,11 +224,11 @@
   CHECK(resultOf({true, false, false, Late}) == attempt_result::Unreachable);
 }
 
-// Pattern: routes whose callers name their objects by the same short keys.
-// Symptom: some servers have nearly twice the load of others. Cause: placing by
-// the key alone puts all routes' objects of one key on one server. Grounds: a
-// server that is warm for a key on one route was cold for it on another.
-TEST(Steering, TheSameKeyOnAnotherRouteIsAnotherObject) {
+// Guards against uneven load when routes use the same short object keys:
+// placement by the key alone puts the objects of all routes with one key on one
+// server, so some servers have nearly twice the load of others. A server that
+// is warm for a key on one route was cold for it on another.
+TEST(Steering, PlacesSameKeyOfDifferentRoutesIndependently) {
   steering Steering = makeSteering(16, work_class::Idempotent);
   configuration Configuration = Steering.Routes->Configuration;
   ++Configuration.Version;
@@ -244,36 +246,36 @@
         chooseTarget(Steering, Other, instant()).value())
       ++Together;
   }
-  // One in sixteen by chance.
+  // One in sixteen coincides by chance.
   CHECK(Together < 20);
 }
 
-// Pattern: all servers busy, as in the first seconds or in a burst. Symptom:
-// the queues of all servers grow although they would carry the load if warm.
-// Cause: what finds a queue at its first place goes on to a second one, runs
-// cold there and makes that queue longer too. Grounds: a cold run takes three
-// times the work of a warm one.
-TEST(Steering, ASecondPlaceWithAQueueIsNoWayOut) {
+// Guards against growing queues when all servers are busy, as in the first
+// seconds or in a burst: requests that find a queue at their primary move to a
+// secondary, run cold there and lengthen that queue too, although the servers
+// would carry the load if warm. A cold run takes three times the work of a warm
+// one.
+TEST(Steering, DoesNotOverflowToQueuedSecondary) {
   steering Steering = makeSteering(8, work_class::Idempotent);
   const request_plan Plan = plan(Steering);
   for (const auto &[Id, Target] : Steering.Targets.ById) {
-    Target->MeanTime = milliseconds(250);
+    Target->MeanResponseTime = milliseconds(250);
     // A wait of 188 ms, more than 0.3 of the objective.
     for (int Sent = 0; Sent < 4 + 2; ++Sent)
-      noteSent(*Target, instant());
+      recordAttemptStart(*Target, instant());
   }
   target &First = *chooseTarget(Steering, Plan, instant()).value();
   // Up to a wait of 1.6 of the objective, 750 ms here.
   for (int Sent = 0; Sent < 10; ++Sent) {
     POINTERS_EQUAL(&First, chooseTarget(Steering, Plan, instant()).value());
-    noteSent(First, instant());
+    recordAttemptStart(First, instant());
   }
   CHECK(chooseTarget(Steering, Plan, instant()).error() == refusal::NoRoom);
 }
 
-// Failure: a request whose content is known to crash servers is sent on, by its
-// first attempt or by the repeat of one that was under way.
-TEST(Steering, AQuarantinedContentGoesToNoServer) {
+// Guards against sending a request whose content crashes servers,
+// whether as a first attempt or as the retry of a request in flight.
+TEST(Steering, RefusesQuarantinedContent) {
   steering Steering = makeSteering(6, work_class::Idempotent);
   request_plan Plan = plan(Steering);
   Plan.Content = 1;
@@ -286,15 +288,15 @@
   CHECK(!Chosen && Chosen.error() == refusal::Quarantined);
   CHECK(chooseTarget(Steering, Harmless, instant()).has_value());
   CHECK(retryAfter(Steering, Plan, refusal::Quarantined, "id-1", instant()) >=
-        Steering.Quarantine.Policy.FirstTrial);
+        Steering.Quarantine.Policy.FirstTrialDelay);
 }
 
-// Failure: a trial of a quarantined content is followed by more requests for it
-// before its outcome is known.
-TEST(Steering, ATrialLetsOneRequestThrough) {
+// Guards against sending more requests with a quarantined content before the
+// outcome of its trial is available.
+TEST(Steering, TrialAdmitsSingleRequest) {
   steering Steering = makeSteering(6, work_class::Idempotent);
   Steering.Instances = {1};
-  const instant TrialAt = instant(Steering.Quarantine.Policy.FirstTrial);
+  const instant TrialAt = instant(Steering.Quarantine.Policy.FirstTrialDelay);
   const request_facts Facts{"shop.example", "/x/y",  "17", "id-1",
                             seconds(3),     TrialAt, 1};
   request_plan Plan = planRequest(Steering, Facts).value();
@@ -306,9 +308,9 @@
   CHECK_FALSE(chooseTarget(Steering, Plan, TrialAt).has_value());
 }
 
-// Failure: all servers of a service asked for rest, and those who are refused
-// come back before its end, or all at once at its end.
-TEST(Steering, WhileAllServersRestCallersComeBackAfterwards) {
+// Guards against callers returning before the end of the backoff, or all at
+// once at its end, when all servers of a service requested backoff.
+TEST(Steering, RetryAfterFollowsBackoffOfAllServers) {
   steering Steering = makeSteering(3, work_class::Idempotent);
   const request_plan Plan = plan(Steering);
   const instant RestEnd{milliseconds(800)};
@@ -316,10 +318,10 @@
     noteRest(Steering.Targets, *Target,
              Id == "s1" ? RestEnd : RestEnd + seconds(60));
   const auto Chosen = chooseTarget(Steering, Plan, instant());
-  CHECK(!Chosen && Chosen.error() == refusal::Resting);
+  CHECK(!Chosen && Chosen.error() == refusal::BackingOff);
   std::set<std::int64_t> Times;
   for (int Caller = 0; Caller < 200; ++Caller) {
-    const duration Time = retryAfter(Steering, Plan, refusal::Resting,
+    const duration Time = retryAfter(Steering, Plan, refusal::BackingOff,
                                      "id-" + std::to_string(Caller), instant());
     CHECK(instant(Time) > RestEnd);
     CHECK(instant(Time) < RestEnd + seconds(1));
@@ -329,7 +331,7 @@
   CHECK(chooseTarget(Steering, Plan, RestEnd).has_value());
 }
 
-TEST(Steering, WorkOfAServerThatRestsGoesToTheOthers) {
+TEST(Steering, BackoffMovesWorkToOtherServers) {
   steering Steering = makeSteering(4, work_class::Idempotent);
   const request_plan Plan = plan(Steering);
   target *First = chooseTarget(Steering, Plan, instant()).value();
--- a/Tests/targets_test.cpp
+++ b/Tests/targets_test.cpp
@@ -1,4 +1,4 @@
-// What an instance believes of the backend servers.
+// An instance's current view of the backend servers.
 
 #include "Targets/list_trust.h"
 #include "Targets/targets.h"
@@ -29,7 +29,7 @@
 
 void attempt(target_directory &Directory, target &Target, attempt_result Result,
              instant Now) {
-  noteSent(Target, Now);
+  recordAttemptStart(Target, Now);
   noteResult(Directory, Target, Result, milliseconds(100), Now);
 }
 
@@ -39,68 +39,69 @@
 TEST_GROUP(Targets) {};
 // clang-format on
 
-// Symptom: after an outage of the store there is nobody to send to. Sequence:
-// the store is away, entries lapse, the list comes back without them, and two
-// seconds later they are there again. Cause: taking a lapse for an end.
-TEST(Targets, ALapseOfTheListIsNoEnd) {
+// Guards against treating expired entries as the end of their servers: in a
+// store outage, entries expire, the list returns without them, and two seconds
+// later they are registered again. The symptom is that no server is left to
+// send to after the outage.
+TEST(Targets, KeepsServerWhoseEntryExpiredInOutage) {
   target_directory Directory = makeDirectory(2);
-  removeTarget(Directory, "s0", /*ListIsSure=*/false);
+  removeTarget(Directory, "s0", /*ListIsComplete=*/false);
   CHECK(isUsable(Directory, get(Directory, "s0"), instant()));
   putTarget(Directory, makeEntry("s0"), instant(seconds(2)));
   removeMissing(Directory);
   CHECK(Directory.ById.contains("s0"));
 }
 
-// Symptom: a server that left gets requests 2.5 s later. Sequence: its removal
-// comes just after trouble with the store. Cause: keeping it for longer than
-// the list can be in doubt.
-TEST(Targets, WhatIsStillMissingIsGone) {
+// Guards against keeping a removed server for longer than the list can be
+// incomplete: its removal arrives just after a store outage, and it still
+// receives requests 2.5 s later.
+TEST(Targets, RemovesServerStillMissingFromCompleteList) {
   target_directory Directory = makeDirectory(2);
-  removeTarget(Directory, "s0", /*ListIsSure=*/false);
+  removeTarget(Directory, "s0", /*ListIsComplete=*/false);
   removeMissing(Directory);
   CHECK_FALSE(Directory.ById.contains("s0"));
   LONGS_EQUAL(1, Directory.ByService["desk"].size());
 }
 
-// Symptom: a server that left gets requests 2.9 s later. Sequence: the store
-// turns some instances away and serves the others; one of those turned away
-// learns of the removal from a peer in touch, between two unanswered questions
-// of its own to the store, and hands it on as unsure. Cause: its own trouble
-// counted again with each unanswered question, against the peer's word.
-TEST(Targets, APeerInTouchKnowsThatTheStoreWasNotAway) {
+// Guards against local connection failures overriding a connected peer's
+// report. The store rejects some instances and serves the others; a rejected
+// instance receives the removal from a connected peer between two unanswered
+// polls of its own, and forwards it as incomplete. If each unanswered poll
+// counts as a new outage, a removed server still receives requests 2.9 s later.
+TEST(Targets, ConnectedPeerOverridesLocalStoreOutage) {
   list_trust Trust;
   noteStoreTrouble(Trust, instant(seconds(10)));
   CHECK_FALSE(isListSure(Trust, instant(seconds(11))));
   for (int Step = 0; Step < 40; ++Step) {
     const instant Now = instant(seconds(11)) + milliseconds(100 * Step);
     if (Step % 4 == 0)
-      notePeerTrust(Trust, /*PeerIsSure=*/true, Now);
+      notePeerTrust(Trust, /*PeerListIsComplete=*/true, Now);
     if (Step % 3 == 0)
       noteStoreTrouble(Trust, Now);
     CHECK(isListSure(Trust, Now));
   }
 }
 
-TEST(Targets, AStoreThatWasAwayIsNotBelievedAtOnce) {
+TEST(Targets, ListIsIncompleteAfterStoreOutage) {
   list_trust Trust;
   CHECK(isListSure(Trust, instant(seconds(1))));
-  notePeerTrust(Trust, /*PeerIsSure=*/false, instant(seconds(5)));
+  notePeerTrust(Trust, /*PeerListIsComplete=*/false, instant(seconds(5)));
   noteStoreTrouble(Trust, instant(seconds(10)));
   CHECK_FALSE(isListSure(Trust, instant(seconds(12))));
   CHECK(isListSure(Trust, instant(seconds(13))));
 }
 
-TEST(Targets, AWholeListRemovesTheOthers) {
+TEST(Targets, FullSnapshotRemovesUnlistedServers) {
   target_directory Directory = makeDirectory(3);
-  keepOnly(Directory, {"s1"}, /*ListIsSure=*/true);
+  removeUnlisted(Directory, {"s1"}, /*ListIsComplete=*/true);
   LONGS_EQUAL(1, Directory.ById.size());
 }
 
-TEST(Targets, ARequestKeepsADepartedServerInMemory) {
+TEST(Targets, RequestInFlightKeepsRetiredServerAllocated) {
   target_directory Directory = makeDirectory(1);
   target &Target = get(Directory, "s0");
-  noteSent(Target, instant());
-  removeTarget(Directory, "s0", /*ListIsSure=*/true);
+  recordAttemptStart(Target, instant());
+  removeTarget(Directory, "s0", /*ListIsComplete=*/true);
   freeDeparted(Directory);
   LONGS_EQUAL(1, Directory.Departed.size());
   noteResult(Directory, Target, attempt_result::Answered, milliseconds(1),
@@ -109,7 +110,7 @@
   LONGS_EQUAL(0, Directory.Departed.size());
 }
 
-TEST(Targets, AServerThatLeavesDoesNotComeBackAsTheSame) {
+TEST(Targets, DrainingServerStaysUnusable) {
   target_directory Directory = makeDirectory(1);
   target_entry Entry = makeEntry("s0");
   Entry.IsLeaving = true;
@@ -118,17 +119,18 @@
   CHECK_FALSE(isUsable(Directory, get(Directory, "s0"), instant()));
 }
 
-// Symptom: requests go to a server that is behind a cut, each losing a connect
-// time. Cause: nobody remembers that it was unreachable a moment ago.
-TEST(Targets, AnUnreachableServerIsLeftOutAndTriedAgain) {
+// Guards against sending repeatedly to a server behind a network partition,
+// where each request loses a connect timeout because its unreachability is not
+// recorded.
+TEST(Targets, EjectsUnreachableServerAndTriesAgain) {
   target_directory Directory = makeDirectory(3);
   target &Target = get(Directory, "s0");
   attempt(Directory, Target, attempt_result::Unreachable, instant());
   CHECK_FALSE(isUsable(Directory, Target, instant(milliseconds(100))));
   const instant Later(milliseconds(500));
   CHECK(isUsable(Directory, Target, Later));
-  noteSent(Target, Later);
-  // One trial at a time.
+  recordAttemptStart(Target, Later);
+  // Only one trial at a time is permitted.
   CHECK_FALSE(isUsable(Directory, Target, Later));
   noteResult(Directory, Target, attempt_result::Unreachable, {}, Later);
   CHECK_FALSE(isUsable(Directory, Target, Later + milliseconds(700)));
@@ -137,9 +139,9 @@
   CHECK(isUsable(Directory, Target, Back));
 }
 
-// Symptom: a failing dependency of all servers takes them all out of use, and
-// what still worked stops. Cause: leaving servers out without a bound.
-TEST(Targets, ShareOfServersLeftOutForFailuresIsBounded) {
+// Guards against ejecting all servers when a dependency that they share fails,
+// which also stops what still works.
+TEST(Targets, BoundsShareOfEjectedServers) {
   target_directory Directory = makeDirectory(12);
   for (int Round = 0; Round < 30; ++Round)
     for (const auto &[Id, Target] : Directory.ById)
@@ -152,7 +154,7 @@
   CHECK(Usable < 12);
 }
 
-TEST(Targets, AnEvacuatedDomainComesBackCold) {
+TEST(Targets, EvacuatedDomainReturnsCold) {
   target_directory Directory = makeDirectory(1);
   setEvacuated(Directory, "a1", true, seconds(3), instant());
   CHECK_FALSE(isUsable(Directory, get(Directory, "s0"), instant()));
@@ -161,29 +163,29 @@
   CHECK(get(Directory, "s0").ColdUntil == instant(seconds(13)));
 }
 
-TEST(Targets, LoadOfOthersIsKnownFromReportsAndFades) {
+TEST(Targets, EstimatesLoadOfOtherInstancesFromReports) {
   target_directory Directory = makeDirectory(1);
   target &Target = get(Directory, "s0");
-  noteSent(Target, instant());
-  noteLoad(Target, {4, 2, 4}, instant());
+  recordAttemptStart(Target, instant());
+  recordLoadReport(Target, {4, 2, 4}, instant());
   noteResult(Directory, Target, attempt_result::Answered, milliseconds(1),
              instant());
   DOUBLES_EQUAL(6, estimatedLoad(Target, instant()), 0.01);
-  noteSent(Target, instant());
+  recordAttemptStart(Target, instant());
   DOUBLES_EQUAL(7, estimatedLoad(Target, instant()), 0.01);
   DOUBLES_EQUAL(1, estimatedLoad(Target, instant(seconds(5))), 0.01);
 }
 
-// Symptom: a healthy server gets no request for the rest of its life.
-// Sequence: a server leaves, fails and reports a full load; it starts again
-// under the same id, ready and empty. Cause: state kept by id.
-TEST(Targets, AServerThatStartsAgainBeginsAFreshRecord) {
+// Guards against keeping state by id across restarts: a server drains, fails
+// and reports full load, then restarts under the same id, ready and empty, and
+// receives no requests for the rest of its life.
+TEST(Targets, RestartedServerGetsNewRecord) {
   target_directory Directory = makeDirectory(2);
   target &Before = get(Directory, "s0");
   const std::uint64_t SerialBefore = Before.Serial;
-  noteLoad(Before, {4, 9, 4}, instant());
+  recordLoadReport(Before, {4, 9, 4}, instant());
   noteLeaving(Directory, Before);
-  noteSent(Before, instant());
+  recordAttemptStart(Before, instant());
   target_entry Entry = makeEntry("s0");
   Entry.StartedAtMs = 1'700'000'000'000;
   Entry.ColdFor = seconds(3);
@@ -194,7 +196,8 @@
   DOUBLES_EQUAL(0, estimatedLoad(After, instant(seconds(1))), 0);
   CHECK(After.ColdUntil == instant(seconds(4)));
   LONGS_EQUAL(2, Directory.ByService.at("desk").size());
-  // What was under way at the earlier start still ends on its own record.
+  // A request in flight at the previous incarnation completes on its own
+  // record.
   LONGS_EQUAL(1, Directory.Departed.size());
   freeDeparted(Directory);
   LONGS_EQUAL(1, Directory.Departed.size());
@@ -204,8 +207,9 @@
   LONGS_EQUAL(0, Directory.Departed.size());
 }
 
-// The same start, said again with another state, stays the same record.
-TEST(Targets, AnotherEntryOfTheSameStartKeepsWhatWasLearned) {
+// Another entry for the same incarnation, with a different state, keeps the
+// record.
+TEST(Targets, EntryOfSameIncarnationKeepsRecord) {
   target_directory Directory = makeDirectory(1);
   target_entry Entry = makeEntry("s0");
   Entry.StartedAtMs = 7;
@@ -217,9 +221,9 @@
   CHECK_FALSE(isUsable(Directory, get(Directory, "s0"), instant(seconds(1))));
 }
 
-// Failure: a server that asked for rest is used before its end, since a trial
-// is due or an older answer asked for less.
-TEST(Targets, AServerRestsUntilTheLastTimeItAskedFor) {
+// Guards against using a server before its requested backoff ends because a
+// trial is due or an older response requested a shorter one.
+TEST(Targets, LongestRequestedBackoffHolds) {
   target_directory Directory = makeDirectory(1);
   target &Target = get(Directory, "s0");
   attempt(Directory, Target, attempt_result::Unreachable, instant());
@@ -229,32 +233,31 @@
   CHECK(isUsable(Directory, Target, instant(seconds(3))));
 }
 
-// Failure: a server that asks for rest is left out for longer, as one that
-// fails.
-TEST(Targets, AskingForRestIsNoFailure) {
+// Guards against ejecting a server that requests backoff as if it had failed.
+TEST(Targets, BackoffRequestIsNotAFailure) {
   target_directory Directory = makeDirectory(4);
   target &Target = get(Directory, "s0");
   for (int Second = 0; Second < 20; ++Second) {
     const instant Now{seconds(Second)};
-    noteSent(Target, Now);
+    recordAttemptStart(Target, Now);
     noteRest(Directory, Target, Now + milliseconds(500));
     noteResult(Directory, Target, attempt_result::Shed, milliseconds(1), Now);
   }
   CHECK(isUsable(Directory, Target, instant(seconds(20))));
 }
 
-// Failure: a server's rest is forgotten when its entry lapses and comes back;
-// or its next start inherits it.
-TEST(Targets, ARestHoldsForOneStartOfAServerWhateverTheListSays) {
-  for (bool IsSaidLate : {false, true}) {
+// Guards against losing a server's backoff when its entry expires and returns,
+// and against its next incarnation inheriting it.
+TEST(Targets, BackoffAppliesToOneIncarnation) {
+  for (bool IsReportedLate : {false, true}) {
     target_directory Directory = makeDirectory(1);
     target &Target = get(Directory, "s0");
-    // A request is there, so that the record outlives its entry.
-    noteSent(Target, instant());
-    if (!IsSaidLate)
+    // A request in flight keeps the record alive after its entry is removed.
+    recordAttemptStart(Target, instant());
+    if (!IsReportedLate)
       noteRest(Directory, Target, instant(seconds(3)));
-    removeTarget(Directory, "s0", /*ListIsSure=*/true);
-    if (IsSaidLate)
+    removeTarget(Directory, "s0", /*ListIsComplete=*/true);
+    if (IsReportedLate)
       noteRest(Directory, Target, instant(seconds(3)));
     putTarget(Directory, makeEntry("s0"), instant(seconds(1)));
     CHECK_FALSE(isUsable(Directory, get(Directory, "s0"), instant(seconds(1))));
@@ -265,28 +268,30 @@
   }
 }
 
-// Failure: an answer of a request that was sent before its server's entry
-// lapsed and came back says something that is lost with the old record.
-TEST(Targets, ARestSaidToAnOldRecordHoldsForTheNewOne) {
+// Guards against losing state from the response to a request that was sent
+// before the server's entry expired and returned: the response refers to the
+// old record.
+TEST(Targets, BackoffOnRetiredRecordAppliesToCurrent) {
   target_directory Directory = makeDirectory(1);
   target &Old = get(Directory, "s0");
-  noteSent(Old, instant());
-  removeTarget(Directory, "s0", /*ListIsSure=*/true);
+  recordAttemptStart(Old, instant());
+  removeTarget(Directory, "s0", /*ListIsComplete=*/true);
   putTarget(Directory, makeEntry("s0"), instant());
   noteRest(Directory, Old, instant(seconds(3)));
   CHECK_FALSE(isUsable(Directory, get(Directory, "s0"), instant(seconds(1))));
 }
 
-// Failure: a server that said it leaves, or whose address another one has, is
-// used again when its entry lapses and comes back as ready.
-TEST(Targets, ALeavingServerStaysSoWhateverTheListSays) {
+// Guards against using a server again after it reported that it is draining, or
+// after another server took over its address, when its entry expires and
+// returns as ready.
+TEST(Targets, DrainingStateSurvivesListChanges) {
   for (bool IsReplaced : {false, true}) {
     target_directory Directory = makeDirectory(1);
     target &Old = get(Directory, "s0");
-    noteSent(Old, instant());
+    recordAttemptStart(Old, instant());
     if (!IsReplaced)
       noteLeaving(Directory, Old);
-    removeTarget(Directory, "s0", /*ListIsSure=*/true);
+    removeTarget(Directory, "s0", /*ListIsComplete=*/true);
     putTarget(Directory, makeEntry("s0"), instant());
     if (IsReplaced)
       noteResult(Directory, Old, attempt_result::Replaced, {}, instant());
@@ -294,12 +299,13 @@
   }
 }
 
-// Failure: an old record without a rest ends the one that the new record has.
-TEST(Targets, AnOldRecordTakesNothingBack) {
+// Guards against an old record without a backoff clearing the backoff of the
+// current record.
+TEST(Targets, RetiredRecordDoesNotClearState) {
   target_directory Directory = makeDirectory(1);
   target &Old = get(Directory, "s0");
-  noteSent(Old, instant());
-  removeTarget(Directory, "s0", /*ListIsSure=*/true);
+  recordAttemptStart(Old, instant());
+  removeTarget(Directory, "s0", /*ListIsComplete=*/true);
   putTarget(Directory, makeEntry("s0"), instant());
   target &Current = get(Directory, "s0");
   noteRest(Directory, Current, instant(seconds(9)));
@@ -310,16 +316,16 @@
   CHECK_FALSE(isUsable(Directory, Current, instant(seconds(60))));
 }
 
-// Failure: what is kept of servers that went grows without end.
-TEST(Targets, WhatIsKeptOfFormerServersIsBounded) {
+// Guards against unbounded growth of the state retained for removed servers.
+TEST(Targets, BoundsRetainedStates) {
   target_directory Directory = makeDirectory(0);
   for (int Index = 0; Index < 2'000; ++Index) {
     const std::string Id = "s" + std::to_string(Index);
     putTarget(Directory, makeEntry(Id), instant());
     noteLeaving(Directory, get(Directory, Id));
-    removeTarget(Directory, Id, /*ListIsSure=*/true);
+    removeTarget(Directory, Id, /*ListIsComplete=*/true);
   }
-  CHECK_COMPARE(Directory.Former.size(), <=, std::size_t{512});
+  CHECK_COMPARE(Directory.RetainedStates.size(), <=, std::size_t{512});
   putTarget(Directory, makeEntry("s1999"), instant());
   CHECK_FALSE(isUsable(Directory, get(Directory, "s1999"), instant()));
 }
