--- a/Libraries/Placement/region_spread.cpp
+++ b/Libraries/Placement/region_spillover.cpp
@@ -1,4 +1,4 @@
-#include "Placement/region_spread.h"
+#include "Placement/region_spillover.h"
 
 #include <algorithm>
 
--- a/Libraries/Steering/steering.h
+++ b/Libraries/Steering/steering.h
@@ -6,7 +6,7 @@
 
 #include "Core/core.h"
 #include "Pacing/pacing.h"
-#include "Placement/region_spread.h"
+#include "Placement/region_spillover.h"
 #include "Quarantine/quarantine.h"
 #include "RouteTable/route_table.h"
 #include "Targets/targets.h"
--- a/Libraries/Targets/list_trust.cpp
+++ b/Libraries/Targets/list_completeness.cpp
@@ -1,4 +1,4 @@
-#include "Targets/list_trust.h"
+#include "Targets/list_completeness.h"
 
 namespace amaranthhoist {
 
--- a/Services/Node/beliefs.h
+++ b/Services/Node/beliefs.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "ObjectCache/object_cache.h"
-#include "Targets/list_trust.h"
+#include "Targets/list_completeness.h"
 #include "node.h"
 
 #include <string>
--- a/Tests/region_spread_test.cpp
+++ b/Tests/region_spread_test.cpp
@@ -1,7 +1,7 @@
 // The share of a region's work that spills over to other regions as its servers
 // fill.
 
-#include "Placement/region_spread.h"
+#include "Placement/region_spillover.h"
 
 #include <CppUTest/TestHarness.h>
 #include <algorithm>
--- a/Tests/targets_test.cpp
+++ b/Tests/targets_test.cpp
@@ -1,6 +1,6 @@
 // An instance's current view of the backend servers.
 
-#include "Targets/list_trust.h"
+#include "Targets/list_completeness.h"
 #include "Targets/targets.h"
 
 #include <CppUTest/TestHarness.h>
