--- a/Libraries/StateSpread/hand_out.cpp
+++ b/Libraries/StateSpread/hand_out.cpp
@@ -5,86 +5,91 @@
 
 namespace amaranthhoist {
 
-/// Part of the link that whole lists may take; the rest is the callers'.
-static constexpr double ShareOfLink = 0.5;
-/// What is handed out at once after a pause, as time at that rate. A list of 53
-/// KB (1,080 servers) goes 47 times at 200 Mbit/s, 5 times at 20.
+/// Share of the link that snapshots may use; the rest is left to callers'
+/// traffic.
+static constexpr double LinkShare = 0.5;
+/// Largest burst after an idle period, in seconds at that rate. A snapshot of
+/// 53 KB (1,080 servers) fits 47 times at 200 Mbit/s, 5 times at 20.
 static constexpr double BurstSeconds = 0.2;
-/// Instances that were served, or wait, remembered: two failure domains of the
-/// largest fleet in view.
-static constexpr std::size_t MostRemembered = 100;
-/// Addresses in one answer: one may be down, or busy too.
-static constexpr std::size_t MostReferrals = 4;
-/// Members of the own failure domain that are told. They serve the next ones.
-static constexpr std::size_t MostToldInDomain = 48;
-/// Members of each other failure domain: two, as one may be down.
-static constexpr std::size_t ToldInOtherDomain = 2;
+/// Bound on the remembered instances that were served or are waiting: two
+/// failure domains of the largest planned fleet.
+static constexpr std::size_t MaxRemembered = 100;
+/// Addresses per response: more than one, since an instance may be down or
+/// busy.
+static constexpr std::size_t MaxReferrals = 4;
+/// Notified members of the own failure domain. They serve the remaining
+/// members.
+static constexpr std::size_t MaxNotifiedInDomain = 48;
+/// Notified members of each other failure domain: two, since one may be down.
+static constexpr std::size_t NotifiedPerOtherDomain = 2;
 static constexpr double BytesPerMegabit = 125'000;
 
 hand_out makeHandOut(double LinkMbps, instant Now) {
-  hand_out HandOut;
-  HandOut.BytesPerSecond = ShareOfLink * LinkMbps * BytesPerMegabit;
-  HandOut.Allowance = BurstSeconds * HandOut.BytesPerSecond;
-  HandOut.RefilledAt = Now;
-  return HandOut;
+  hand_out Throttle;
+  Throttle.BytesPerSecond = LinkShare * LinkMbps * BytesPerMegabit;
+  Throttle.Allowance = BurstSeconds * Throttle.BytesPerSecond;
+  Throttle.RefilledAt = Now;
+  return Throttle;
 }
 
-static void refill(hand_out &HandOut, instant Now) {
-  const std::chrono::duration<double> Passed = Now - HandOut.RefilledAt;
-  HandOut.RefilledAt = Now;
-  HandOut.Allowance =
-      std::min(HandOut.Allowance + Passed.count() * HandOut.BytesPerSecond,
-               BurstSeconds * HandOut.BytesPerSecond);
+static void refill(hand_out &Throttle, instant Now) {
+  const std::chrono::duration<double> Passed = Now - Throttle.RefilledAt;
+  Throttle.RefilledAt = Now;
+  Throttle.Allowance =
+      std::min(Throttle.Allowance + Passed.count() * Throttle.BytesPerSecond,
+               BurstSeconds * Throttle.BytesPerSecond);
 }
 
-static void remember(std::vector<new_instance> &Instances,
-                     const new_instance &Asker) {
-  std::erase_if(Instances, [&](const new_instance &Known) {
-    return Known.Control == Asker.Control;
+static void addBounded(std::vector<new_instance> &Instances,
+                       const new_instance &Requester) {
+  std::erase_if(Instances, [&](const new_instance &Entry) {
+    return Entry.Control == Requester.Control;
   });
-  Instances.push_back(Asker);
-  if (Instances.size() > MostRemembered)
+  Instances.push_back(Requester);
+  if (Instances.size() > MaxRemembered)
     Instances.erase(Instances.begin());
 }
 
-bool mayHandOut(hand_out &HandOut, const new_instance &Asker, std::size_t Bytes,
-                instant Now) {
-  refill(HandOut, Now);
-  // A list longer than the allowance ever gets goes out too, just not at once
-  // after another one.
-  if (HandOut.Allowance <= 0)
+bool mayHandOut(hand_out &Throttle, const new_instance &Requester,
+                std::size_t Bytes, instant Now) {
+  refill(Throttle, Now);
+  // A snapshot larger than the maximum allowance is sent as well, but not
+  // directly after another one.
+  if (Throttle.Allowance <= 0)
     return false;
-  HandOut.Allowance -= static_cast<double>(Bytes);
-  if (!Asker.Control.empty())
-    remember(HandOut.Served, Asker);
+  Throttle.Allowance -= static_cast<double>(Bytes);
+  if (!Requester.Control.empty())
+    addBounded(Throttle.Served, Requester);
   return true;
 }
 
-static int nearness(const new_instance &Served, const new_instance &Asker) {
-  if (Served.FailureDomain == Asker.FailureDomain)
+static int proximity(const new_instance &Served,
+                     const new_instance &Requester) {
+  if (Served.FailureDomain == Requester.FailureDomain)
     return 2;
-  return Served.Region == Asker.Region ? 1 : 0;
+  return Served.Region == Requester.Region ? 1 : 0;
 }
 
-std::vector<std::string> referralsFor(const hand_out &HandOut,
-                                      const new_instance &Asker) {
+std::vector<std::string> referralsFor(const hand_out &Throttle,
+                                      const new_instance &Requester) {
   std::vector<const new_instance *> Others;
-  for (const new_instance &Served : HandOut.Served)
-    if (Served.Control != Asker.Control)
+  for (const new_instance &Served : Throttle.Served)
+    if (Served.Control != Requester.Control)
       Others.push_back(&Served);
-  // The asker's own order, so that not all go to the same one.
-  const std::uint64_t Salt = stableHash(Asker.Control);
+  // The order differs from requester to requester, which spreads them over the
+  // instances.
+  const std::uint64_t Salt = stableHash(Requester.Control);
   std::sort(Others.begin(), Others.end(),
             [&](const new_instance *Left, const new_instance *Right) {
-              const int LeftIsNear = nearness(*Left, Asker);
-              const int RightIsNear = nearness(*Right, Asker);
-              if (LeftIsNear != RightIsNear)
-                return LeftIsNear > RightIsNear;
+              const int LeftProximity = proximity(*Left, Requester);
+              const int RightProximity = proximity(*Right, Requester);
+              if (LeftProximity != RightProximity)
+                return LeftProximity > RightProximity;
               return stableHash(Left->Control, Salt) <
                      stableHash(Right->Control, Salt);
             });
-  if (Others.size() > MostReferrals)
-    Others.resize(MostReferrals);
+  if (Others.size() > MaxReferrals)
+    Others.resize(MaxReferrals);
   std::vector<std::string> Addresses;
   Addresses.reserve(Others.size());
   for (const new_instance *Other : Others)
@@ -92,17 +97,18 @@
   return Addresses;
 }
 
-void noteWaiting(hand_out &HandOut, const new_instance &Asker) {
-  if (!Asker.Peer.empty())
-    remember(HandOut.Waiting, Asker);
+void noteWaiting(hand_out &Throttle, const new_instance &Requester) {
+  if (!Requester.Peer.empty())
+    addBounded(Throttle.Waiting, Requester);
 }
 
-duration timeToHandOut(const hand_out &HandOut, std::size_t Lists,
+duration timeToHandOut(const hand_out &Throttle, std::size_t Snapshots,
                        std::size_t Bytes) {
-  const double Total = static_cast<double>(Lists) * static_cast<double>(Bytes);
-  const double Later = std::max(Total - HandOut.Allowance, 0.0);
+  const double Total =
+      static_cast<double>(Snapshots) * static_cast<double>(Bytes);
+  const double Remaining = std::max(Total - Throttle.Allowance, 0.0);
   return std::chrono::duration_cast<duration>(
-      std::chrono::duration<double>(Later / HandOut.BytesPerSecond));
+      std::chrono::duration<double>(Remaining / Throttle.BytesPerSecond));
 }
 
 std::vector<std::string> membersToTell(const fleet &Fleet, bool FromStore) {
@@ -117,13 +123,16 @@
       continue;
     std::sort(Members.begin(), Members.end(),
               [](const fleet_member *Left, const fleet_member *Right) {
-                const double LeftCan = capacityOf(*Left);
-                const double RightCan = capacityOf(*Right);
-                return LeftCan != RightCan ? LeftCan > RightCan
-                                           : Left->Name < Right->Name;
+                const double LeftCapacity = capacityOf(*Left);
+                const double RightCapacity = capacityOf(*Right);
+                return LeftCapacity != RightCapacity
+                           ? LeftCapacity > RightCapacity
+                           : Left->Name < Right->Name;
               });
-    const std::size_t Most = IsOwn ? MostToldInDomain : ToldInOtherDomain;
-    for (std::size_t Index = 0; Index < std::min(Most, Members.size()); ++Index)
+    const std::size_t Limit =
+        IsOwn ? MaxNotifiedInDomain : NotifiedPerOtherDomain;
+    for (std::size_t Index = 0; Index < std::min(Limit, Members.size());
+         ++Index)
       (IsOwn ? OwnNames : Names).push_back(Members[Index]->Name);
   }
   Names.insert(Names.end(), OwnNames.begin(), OwnNames.end());
--- a/Libraries/StateSpread/hand_out.h
+++ b/Libraries/StateSpread/hand_out.h
@@ -1,10 +1,10 @@
-/// Handing whole lists to instances that have just started, within what the
-/// link of this instance can carry, and sending the rest to those that were
-/// served before.
+/// Serves full snapshots of the store's state to instances that have just
+/// started, limited by the bandwidth of this instance's link, and refers the
+/// other requesters to instances that already got one.
 ///
-/// What goes wrong otherwise: hundreds of new instances ask the three seeds
-/// that their settings name; a seed with a link of 20 Mbit/s would take seconds
-/// for all the copies, and callers' requests would wait behind them. Sans-I/O.
+/// Without a limit, hundreds of new instances request a snapshot from the three
+/// seeds in their settings; a seed with a link of 20 Mbit/s would need seconds
+/// for all the copies, and callers' requests would queue behind them. Sans-I/O.
 #pragma once
 
 #include "Core/core.h"
@@ -16,52 +16,56 @@
 
 namespace amaranthhoist {
 
-/// An instance that asks for everything.
+/// An instance that requests a full snapshot.
 struct new_instance {
   std::string FailureDomain;
   std::string Region;
-  /// Where it hands on the state once it has it, `ip:port`.
+  /// Address at which it serves the state once it has it, `ip:port`.
   std::string Control;
-  /// Where it takes datagrams, `ip:port`.
+  /// Address at which it receives datagrams, `ip:port`.
   std::string Peer;
 };
 
 struct hand_out {
   double BytesPerSecond = 0;
-  /// Bytes that may be handed out now; below zero after a long list.
+  /// Bytes that may be sent now; negative after a large snapshot.
   double Allowance = 0;
   instant RefilledAt{};
-  /// Those that were served, the last one at the end.
+  /// Instances that got a snapshot, oldest first.
   std::vector<new_instance> Served;
-  /// Those that asked while this instance didn't know enough itself.
+  /// Instances that requested a snapshot before this instance had the full
+  /// state.
   std::vector<new_instance> Waiting;
 };
 
 hand_out makeHandOut(double LinkMbps, instant Now);
 
-/// Whether whole lists of \p Bytes may be handed to \p Asker now; counts them.
-bool mayHandOut(hand_out &HandOut, const new_instance &Asker, std::size_t Bytes,
-                instant Now);
+/// Returns whether a snapshot of \p Bytes may be sent to \p Requester now, and
+/// if so deducts it from the allowance.
+bool mayHandOut(hand_out &Throttle, const new_instance &Requester,
+                std::size_t Bytes, instant Now);
 
-/// Control addresses of others that \p Asker can go to: those of its failure
-/// domain that were served lately, then those of its region, then any.
-std::vector<std::string> referralsFor(const hand_out &HandOut,
-                                      const new_instance &Asker);
+/// Returns control addresses of other instances that \p Requester can query:
+/// recently served instances of its failure domain first, then of its region,
+/// then any.
+std::vector<std::string> referralsFor(const hand_out &Throttle,
+                                      const new_instance &Requester);
 
-/// Remembers \p Asker, to be told once this instance knows enough.
-void noteWaiting(hand_out &HandOut, const new_instance &Asker);
+/// Records \p Requester, which is notified once this instance has the full
+/// state.
+void noteWaiting(hand_out &Throttle, const new_instance &Requester);
 
-/// How long it takes until \p Lists lists of \p Bytes have been handed out. One
-/// that tells others where the state is tells the next one after that time: a
-/// small instance that told all at once would be asked by 32 other small ones
-/// before the first large one.
-duration timeToHandOut(const hand_out &HandOut, std::size_t Lists,
+/// Returns the time until \p Snapshots snapshots of \p Bytes have been sent. An
+/// instance that announces its state to others waits this long before the next
+/// announcement: a small instance that notified all of them at once would get
+/// requests from 32 other small instances before the first large one.
+duration timeToHandOut(const hand_out &Throttle, std::size_t Snapshots,
                        std::size_t Bytes);
 
-/// Members of the fleet that this instance, which has just got the state, tells
-/// where it can be had: if it has the state \p FromStore, the largest of each
-/// other failure domain, which then do the same in theirs; and those of its own
-/// domain, the largest first. Bounded by the number of failure domains.
+/// Returns the members that this instance notifies after it got the full state:
+/// the largest members of its own failure domain, largest first, and if the
+/// state came \p FromStore, the largest ones of each other failure domain,
+/// which then notify theirs. Bounded by the number of failure domains.
 std::vector<std::string> membersToTell(const fleet &Fleet, bool FromStore);
 
 } // namespace amaranthhoist
--- a/Libraries/StateSpread/learning.cpp
+++ b/Libraries/StateSpread/learning.cpp
@@ -6,89 +6,92 @@
 
 namespace amaranthhoist {
 
-/// What the lists take at most, in bits: a megabyte, the store's longest
-/// answer.
-static constexpr double ListMegabits = 8;
-/// The time to wait for the store is at most this many times that which the own
-/// link needs for the lists: 64 ms at 1,000 Mbit/s, 0.32 s at 200, 3.2 s at 20,
-/// by when peers have long answered if any of them lives.
-static constexpr double MostTurns = 8;
-/// How often the number of instances whose wait is over doubles on the way. Few
-/// ask early however large the fleet is: of 173 with 200 Mbit/s one after 45
-/// ms, and twice as many each 80 ms. Drawn evenly, all would fill the store's
-/// link before the first had learned (888 lists at 1,900 instances without
-/// seeds).
-static constexpr double Doublings = 8;
-/// The wait goes on for this part of the most when a peer shows that the state
-/// is on its way: a seed that is learning, or one that is busy handing it out.
-static constexpr double PartAfterSignOfLife = 0.25;
-/// But no longer than this after the start.
-static constexpr duration LongestWait = std::chrono::seconds(4);
-/// Between two questions to seeds. A seed that is new itself remembers who has
-/// asked and tells them once it knows, so that asking often gains nothing.
-static constexpr duration SeedPause = std::chrono::milliseconds(250);
-/// Addresses that are remembered: a few of those heard last.
-static constexpr std::size_t MostHeard = 8;
+/// Largest size of the snapshot, in megabits: one megabyte, the store's longest
+/// response.
+static constexpr double MaxSnapshotMegabits = 8;
+/// The delay before listing the store is at most this multiple of the time that
+/// the own link needs for the snapshot: 64 ms at 1,000 Mbit/s, 0.32 s at 200,
+/// 3.2 s at 20. By then peers have responded if any of them is alive.
+static constexpr double MaxDelayFactor = 8;
+/// Number of times that the count of instances whose delay has passed doubles
+/// within the longest delay. Few instances list the store early, however large
+/// the fleet is: of 173 with 200 Mbit/s one after 45 ms, and twice as many
+/// every 80 ms. With a uniform distribution all of them would saturate the
+/// store's link before the first one had the state (888 lists at 1,900
+/// instances without seeds).
+static constexpr double DelayDoublings = 8;
+/// Fraction of the longest delay by which the listing is postponed when a peer
+/// shows that the state is on its way: a seed that is bootstrapping, or one
+/// that is busy serving snapshots.
+static constexpr double PostponeFraction = 0.25;
+/// Upper bound of the postponed delay, counted from the start.
+static constexpr duration MaxTotalDelay = std::chrono::seconds(4);
+/// Interval between queries to seeds. A seed that is new itself records the
+/// requesters and notifies them once it has the state, so that frequent queries
+/// gain nothing.
+static constexpr duration SeedQueryInterval = std::chrono::milliseconds(250);
+/// Bound on the remembered sources; the latest ones are kept.
+static constexpr std::size_t MaxAnnouncedSources = 8;
 
-static duration drawWait(const learning &Learning, std::mt19937_64 &Random) {
+static duration drawDelay(const learning &Bootstrap, std::mt19937_64 &Random) {
   const double Draw = std::uniform_real_distribution<double>()(Random);
-  const double Part = std::max(1 + std::log2(Draw) / Doublings, 0.0);
-  return std::chrono::duration_cast<duration>(Part * Learning.MostWait);
+  const double Fraction = std::max(1 + std::log2(Draw) / DelayDoublings, 0.0);
+  return std::chrono::duration_cast<duration>(Fraction * Bootstrap.MaxDelay);
 }
 
-learning startLearning(const learning_setup &Setup, instant Now) {
-  std::mt19937_64 Random(Setup.Seed);
-  learning Learning;
-  for (const std::string &Seed : Setup.Seeds)
-    if (Seed != Setup.OwnControl)
-      Learning.Seeds.push_back(Seed);
-  const bool IsSeed = Learning.Seeds.size() != Setup.Seeds.size();
-  std::shuffle(Learning.Seeds.begin(), Learning.Seeds.end(), Random);
-  Learning.StartedAt = Now;
-  Learning.MostWait = std::chrono::duration<double>(
-      MostTurns * ListMegabits / std::max(Setup.LinkMbps, 1.0));
-  Learning.NextSeedAt = Now;
-  Learning.AskStoreAt = Now;
-  // Without seeds there is nobody else to begin with.
-  if (!IsSeed && !Learning.Seeds.empty())
-    Learning.AskStoreAt += drawWait(Learning, Random);
-  return Learning;
+learning startLearning(const bootstrap_options &Options, instant Now) {
+  std::mt19937_64 Random(Options.Seed);
+  learning Bootstrap;
+  for (const std::string &Seed : Options.Seeds)
+    if (Seed != Options.OwnControl)
+      Bootstrap.Seeds.push_back(Seed);
+  const bool IsSeed = Bootstrap.Seeds.size() != Options.Seeds.size();
+  std::shuffle(Bootstrap.Seeds.begin(), Bootstrap.Seeds.end(), Random);
+  Bootstrap.StartedAt = Now;
+  Bootstrap.MaxDelay = std::chrono::duration<double>(
+      MaxDelayFactor * MaxSnapshotMegabits / std::max(Options.LinkMbps, 1.0));
+  Bootstrap.NextSeedAt = Now;
+  Bootstrap.AskStoreAt = Now;
+  // Without other seeds no peer is known at the start.
+  if (!IsSeed && !Bootstrap.Seeds.empty())
+    Bootstrap.AskStoreAt += drawDelay(Bootstrap, Random);
+  return Bootstrap;
 }
 
-void hearOfSource(learning &Learning, const std::string &Control) {
+void hearOfSource(learning &Bootstrap, const std::string &Control) {
   if (Control.empty())
     return;
-  std::erase(Learning.Heard, Control);
-  Learning.Heard.push_back(Control);
-  if (Learning.Heard.size() > MostHeard)
-    Learning.Heard.erase(Learning.Heard.begin());
+  std::erase(Bootstrap.AnnouncedSources, Control);
+  Bootstrap.AnnouncedSources.push_back(Control);
+  if (Bootstrap.AnnouncedSources.size() > MaxAnnouncedSources)
+    Bootstrap.AnnouncedSources.erase(Bootstrap.AnnouncedSources.begin());
 }
 
-std::optional<std::string> takeHeard(learning &Learning) {
-  if (Learning.Heard.empty())
+std::optional<std::string> takeHeard(learning &Bootstrap) {
+  if (Bootstrap.AnnouncedSources.empty())
     return std::nullopt;
-  std::string Control = std::move(Learning.Heard.back());
-  Learning.Heard.pop_back();
+  std::string Control = std::move(Bootstrap.AnnouncedSources.back());
+  Bootstrap.AnnouncedSources.pop_back();
   return Control;
 }
 
-std::optional<std::string> takeSeed(learning &Learning, instant Now) {
-  if (Learning.Seeds.empty() || Now < Learning.NextSeedAt)
+std::optional<std::string> takeSeed(learning &Bootstrap, instant Now) {
+  if (Bootstrap.Seeds.empty() || Now < Bootstrap.NextSeedAt)
     return std::nullopt;
-  Learning.NextSeedAt = Now + SeedPause;
-  return Learning.Seeds[Learning.NextSeed++ % Learning.Seeds.size()];
+  Bootstrap.NextSeedAt = Now + SeedQueryInterval;
+  return Bootstrap.Seeds[Bootstrap.NextSeed++ % Bootstrap.Seeds.size()];
 }
 
-void noteSignOfLife(learning &Learning, instant Now) {
-  const instant Last = Learning.StartedAt + LongestWait;
-  const auto Pause = std::chrono::duration_cast<duration>(PartAfterSignOfLife *
-                                                          Learning.MostWait);
-  Learning.AskStoreAt =
-      std::max(Learning.AskStoreAt, std::min(Now + Pause, Last));
+void noteSignOfLife(learning &Bootstrap, instant Now) {
+  const instant Latest = Bootstrap.StartedAt + MaxTotalDelay;
+  const auto Pause = std::chrono::duration_cast<duration>(PostponeFraction *
+                                                          Bootstrap.MaxDelay);
+  Bootstrap.AskStoreAt =
+      std::max(Bootstrap.AskStoreAt, std::min(Now + Pause, Latest));
 }
 
-bool mayAskStore(const learning &Learning, instant Now) {
-  return Now >= Learning.AskStoreAt;
+bool mayAskStore(const learning &Bootstrap, instant Now) {
+  return Now >= Bootstrap.AskStoreAt;
 }
 
 } // namespace amaranthhoist
--- a/Libraries/StateSpread/learning.h
+++ b/Libraries/StateSpread/learning.h
@@ -1,14 +1,15 @@
-/// An instance that has just started and knows nothing: whom it asks for the
-/// state of the platform's store, and from when on it asks the store itself.
+/// Bootstrap of an instance that has just started without any state: which
+/// instances it queries for the state of the platform's store, and when it
+/// lists the store itself.
 ///
-/// What goes wrong otherwise: all instances start together, each lists the
-/// store, and the lists fill the store's link. 295 instances with 1,080 servers
-/// of 350 bytes are 0.9 Gbit; the last ones know their servers after over a
-/// second and refuse callers until then. So only the instances that the
-/// settings name as seeds list the store at once. Others wait to be told where
-/// the state is, and turn to the store after a time that grows with the time
-/// which their own link needs for the lists: the best placed go first.
-/// Sans-I/O.
+/// If all instances of a fleet start together and each lists the store, the
+/// responses saturate the store's link. 295 instances with 1,080 servers of 350
+/// bytes need 0.9 Gbit; the last ones get their servers after more than a
+/// second and refuse callers until then. Therefore only the instances that the
+/// settings name as seeds list the store at once. The others wait for an
+/// announced source, and list the store after a delay that grows with the time
+/// their own link needs for the snapshot, so that the instances with the
+/// fastest links go first. Sans-I/O.
 #pragma once
 
 #include "Core/core.h"
@@ -21,49 +22,53 @@
 
 namespace amaranthhoist {
 
-struct learning_setup {
+struct bootstrap_options {
   /// Control address of this instance, `ip:port`.
   std::string OwnControl;
   /// Control addresses from the settings; may be stale or down.
   std::vector<std::string> Seeds;
   /// Bandwidth of this instance's link, Mbit/s.
   double LinkMbps = 1'000;
-  /// Spreads instances over the time to wait, and over the seeds.
+  /// Seeds the random delay and the order of the seeds, so that instances
+  /// differ.
   std::uint64_t Seed = 0;
 };
 
 struct learning {
-  /// Seeds but this instance, in this instance's own order.
+  /// The seeds without this instance, in an order specific to this instance.
   std::vector<std::string> Seeds;
   std::size_t NextSeed = 0;
   instant NextSeedAt{};
-  /// Addresses that are said to have the state, the last heard at the end.
-  std::vector<std::string> Heard;
+  /// Control addresses of instances that announced that they have the state, or
+  /// to which another instance referred; the latest is last.
+  std::vector<std::string> AnnouncedSources;
   instant StartedAt{};
-  /// The longest time to wait before the store is asked.
-  std::chrono::duration<double> MostWait{};
-  /// From then on the store itself is asked.
+  /// Upper bound of the initial delay before the store is listed.
+  std::chrono::duration<double> MaxDelay{};
+  /// Time from which the store is listed directly.
   instant AskStoreAt{};
 };
 
-learning startLearning(const learning_setup &Setup, instant Now);
+learning startLearning(const bootstrap_options &Options, instant Now);
 
-/// Somebody has the state at \p Control: it told so itself, or another one did.
-void hearOfSource(learning &Learning, const std::string &Control);
+/// Adds \p Control, which announced itself as a source of the state or was
+/// named by another instance.
+void hearOfSource(learning &Bootstrap, const std::string &Control);
 
-/// Takes the next address that is said to have the state; none: nobody is known
-/// that hasn't been asked.
-std::optional<std::string> takeHeard(learning &Learning);
+/// Removes and returns the latest announced source; none if all of them have
+/// been queried.
+std::optional<std::string> takeHeard(learning &Bootstrap);
 
-/// Takes the next seed to ask, if it is time for one.
-std::optional<std::string> takeSeed(learning &Learning, instant Now);
+/// Returns the next seed to query, if the interval between seed queries has
+/// passed.
+std::optional<std::string> takeSeed(learning &Bootstrap, instant Now);
 
-/// A peer answered that it is learning itself, or has no time now: the state is
-/// on its way, and the store is left in peace a while longer. Not for an
-/// instance that asks the store already.
-void noteSignOfLife(learning &Learning, instant Now);
+/// Postpones the listing of the store after a peer responded that it is
+/// bootstrapping itself or too busy: the state will arrive from peers. Must not
+/// be called for an instance that lists the store already.
+void noteSignOfLife(learning &Bootstrap, instant Now);
 
-/// Whether it is time to ask the store itself.
-bool mayAskStore(const learning &Learning, instant Now);
+/// Returns whether the delay before listing the store has passed.
+bool mayAskStore(const learning &Bootstrap, instant Now);
 
 } // namespace amaranthhoist
--- a/Libraries/StateSpread/spread_tree.cpp
+++ b/Libraries/StateSpread/spread_tree.cpp
@@ -5,35 +5,36 @@
 
 namespace amaranthhoist {
 
-/// Instances that learn from one other. With 2.5 polls a second each of about
-/// 400 bytes, 16 take 16 KB/s and 1 % of a core.
+/// Instances that poll one source. At 2.5 polls a second each of about 400
+/// bytes, 16 of them take 16 KB/s and 1 % of a core.
 static constexpr std::size_t FanOut = 16;
 
 using members = std::vector<const fleet_member *>;
 
 static bool isPreferred(const fleet_member *Left, const fleet_member *Right) {
-  // They hand everything on, which a small instance with its slow link can't
-  // do for many.
+  // Larger instances are preferred, since they forward all changes; a small
+  // instance's slow link can't serve many others.
   if (Left->Processor != Right->Processor)
     return Left->Processor > Right->Processor;
   return stableHash(Left->Name) < stableHash(Right->Name);
 }
 
-/// This instance, unless it leaves, and all that are up, by preference.
+/// Returns this instance, unless it is shutting down, and all members that are
+/// up, ordered by preference.
 template <typename Predicate>
-static members upByPreference(const fleet &Fleet, Predicate IsWanted) {
+static members rankedUpMembers(const fleet &Fleet, Predicate Matches) {
   members Members;
-  if (!Fleet.OwnIsLeaving && IsWanted(Fleet.Own))
+  if (!Fleet.OwnIsLeaving && Matches(Fleet.Own))
     Members.push_back(&Fleet.Own);
   for (const auto &[Name, Member] : Fleet.Members)
-    if (IsWanted(Member) && isUp(Fleet.Membership, Name))
+    if (Matches(Member) && isUp(Fleet.Membership, Name))
       Members.push_back(&Member);
   std::sort(Members.begin(), Members.end(), isPreferred);
   return Members;
 }
 
-static members rankingIn(const fleet &Fleet, const std::string &Region) {
-  members Members = upByPreference(Fleet, [&](const fleet_member &Member) {
+static members rankWatchers(const fleet &Fleet, const std::string &Region) {
+  members Members = rankedUpMembers(Fleet, [&](const fleet_member &Member) {
     return Member.Region == Region;
   });
   if (Members.size() <= WatchersPerRegion)
@@ -48,11 +49,11 @@
 }
 
 members watcherRanking(const fleet &Fleet) {
-  return rankingIn(Fleet, Fleet.Own.Region);
+  return rankWatchers(Fleet, Fleet.Own.Region);
 }
 
 static members watchersIn(const fleet &Fleet, const std::string &Region) {
-  members Members = rankingIn(Fleet, Region);
+  members Members = rankWatchers(Fleet, Region);
   if (Members.size() > WatchersPerRegion)
     Members.resize(WatchersPerRegion);
   return Members;
@@ -74,16 +75,17 @@
   return static_cast<std::size_t>(Found - Ranking.begin());
 }
 
-/// The relays of this instance's failure domain; none in a region whose
-/// watchers can serve all.
+/// Returns the relays of this instance's failure domain; none in a region whose
+/// watchers can serve all instances.
 static members relaysOf(const fleet &Fleet, const members &Ranking) {
   if (Ranking.size() <= WatchersPerRegion * FanOut)
     return {};
-  members Members = upByPreference(Fleet, [&](const fleet_member &Member) {
+  members Members = rankedUpMembers(Fleet, [&](const fleet_member &Member) {
     return Member.FailureDomain == Fleet.Own.FailureDomain;
   });
   const std::size_t Needed = (Members.size() + FanOut - 1) / FanOut;
-  // One more, so that the loss of one leaves the others within their fan-out.
+  // One spare relay, so that after the loss of one the others stay within their
+  // fan-out.
   if (Members.size() > Needed + 1)
     Members.resize(Needed + 1);
   return Members;
@@ -101,8 +103,9 @@
                                                         : spread_role::Leaf;
 }
 
-/// Begins at a place of this instance's own, so that not all ask the same one.
-static void rotateByOwnName(const fleet &Fleet, members &Members) {
+/// Rotates by this instance's hash, so that instances start with different
+/// sources.
+static void rotateByOwnHash(const fleet &Fleet, members &Members) {
   if (Members.empty())
     return;
   const auto First =
@@ -115,11 +118,11 @@
   if (Sources.empty() || contains(Sources, &Fleet.Own))
     Sources = watchers(Fleet);
   std::erase(Sources, &Fleet.Own);
-  rotateByOwnName(Fleet, Sources);
+  rotateByOwnHash(Fleet, Sources);
   return Sources;
 }
 
-static members watchersElsewhere(const fleet &Fleet) {
+static members watchersInOtherRegions(const fleet &Fleet) {
   std::set<std::string> Regions;
   for (const auto &[Name, Member] : Fleet.Members)
     if (Member.Region != Fleet.Own.Region)
@@ -128,19 +131,19 @@
   for (const std::string &Region : Regions)
     for (const fleet_member *Watcher : watchersIn(Fleet, Region))
       Watchers.push_back(Watcher);
-  rotateByOwnName(Fleet, Watchers);
+  rotateByOwnHash(Fleet, Watchers);
   return Watchers;
 }
 
-members sourcesInOrder(const fleet &Fleet, bool IsBlind) {
-  members Sources = IsBlind ? members() : regularSources(Fleet);
-  for (const fleet_member *Watcher : watchersElsewhere(Fleet))
+members sourcesInOrder(const fleet &Fleet, bool IsDisconnected) {
+  members Sources = IsDisconnected ? members() : regularSources(Fleet);
+  for (const fleet_member *Watcher : watchersInOtherRegions(Fleet))
     Sources.push_back(Watcher);
   members Others;
   for (const auto &[Name, Member] : Fleet.Members)
     if (isUp(Fleet.Membership, Name) && !contains(Sources, &Member))
       Others.push_back(&Member);
-  rotateByOwnName(Fleet, Others);
+  rotateByOwnHash(Fleet, Others);
   Sources.insert(Sources.end(), Others.begin(), Others.end());
   return Sources;
 }
--- a/Libraries/StateSpread/spread_tree.h
+++ b/Libraries/StateSpread/spread_tree.h
@@ -1,12 +1,13 @@
-/// Which instances ask the platform's store themselves, and from whom the
-/// others learn what changes. Every instance works it out alone from who is up;
-/// a wrong view costs calls, never knowledge.
+/// Distribution tree of the store's state: which instances watch the platform's
+/// store, and from which instances the others fetch changes. Each instance
+/// computes it locally from the members that are up; a wrong view costs extra
+/// calls but never loses state.
 ///
-/// Two watchers a region ask the store. In a small region all others ask those;
-/// in a larger one they would serve too many (98 instances of a region asked
-/// its two watchers 245 times a second), so that there the largest instances of
-/// each failure domain stand between: relays, which ask the watchers more often
-/// than others ask them. Sans-I/O.
+/// Two watchers per region query the store. In a small region all other
+/// instances poll those; in a larger one that would overload them (98 instances
+/// of a region polled its two watchers 245 times a second), so the largest
+/// instances of each failure domain act as relays there: they poll the watchers
+/// more often than others poll them. Sans-I/O.
 #pragma once
 
 #include "Fleet/fleet.h"
@@ -17,35 +18,37 @@
 
 namespace amaranthhoist {
 
-/// Instances of one region that ask the store: two, so that the loss of one
-/// leaves the others a source at once.
+/// Watchers per region: two, so that the loss of one leaves the other instances
+/// a source at once.
 inline constexpr std::size_t WatchersPerRegion = 2;
 
-/// Up instances of this instance's region by preference as watchers: the
-/// largest first, and the second from another failure domain if there is one.
-/// This instance among them unless it leaves.
+/// Returns the instances of this region that are up, ordered by preference as
+/// watchers: the largest first, the second from another failure domain if there
+/// is one. Includes this instance unless it is shutting down.
 std::vector<const fleet_member *> watcherRanking(const fleet &Fleet);
 
-/// The first of the ranking.
+/// Returns the first instances of the ranking.
 std::vector<const fleet_member *> watchers(const fleet &Fleet);
 
-/// This instance's place in the ranking; none while it leaves.
+/// Returns this instance's rank; none while it is shutting down.
 std::optional<std::size_t> ownRank(const fleet &Fleet);
 
-/// What an instance does for others.
+/// Role of an instance in the distribution tree.
 enum class spread_role : std::uint8_t { Watcher, Relay, Leaf };
 spread_role ownRole(const fleet &Fleet);
 
-/// Instances to learn from, in this instance's own order: the relays of its
-/// failure domain, or the region's watchers. Empty: nobody but itself.
+/// Returns the instances to poll for changes, in an order specific to this
+/// instance: the relays of its failure domain, or the region's watchers. Empty
+/// if there is none besides this instance.
 std::vector<const fleet_member *> regularSources(const fleet &Fleet);
 
-/// Everybody to learn from, in the order in which they are asked while none is
-/// of use: the regular sources, the watchers of other regions, since a cause
-/// that cuts this region off from the store may spare them, and then all others
-/// that are up. One that is \p IsBlind itself, its own calls to the store being
-/// in vain, leaves out the regular ones: they would ask it, or are as blind.
+/// Returns all instances to poll, in the order in which they are tried until
+/// one has fresh state: the primary sources, the watchers of other regions,
+/// which a fault between this region and the store may not affect, and then all
+/// other instances that are up. If this instance \p IsDisconnected, that is its
+/// own calls to the store fail, the primary sources are left out: they would
+/// poll this instance, or are disconnected as well.
 std::vector<const fleet_member *> sourcesInOrder(const fleet &Fleet,
-                                                 bool IsBlind);
+                                                 bool IsDisconnected);
 
 } // namespace amaranthhoist
--- a/Libraries/StateSpread/store_duty.h
+++ b/Libraries/StateSpread/store_duty.h
@@ -1,12 +1,13 @@
-/// Whether this instance asks the platform's store itself.
+/// Decides whether this instance watches the platform's store itself.
 ///
-/// What goes wrong otherwise: the store falls silent, every instance finds its
-/// source's state old and turns to the store. 295 instances probed it three
-/// times a second each for as long as it was away (12,809 calls on a day with
-/// eight such seconds), and all of them met it on its return. So the number
-/// that asks is bounded, whatever the size of the fleet: the region's watchers,
-/// and while they are blind a few more, doubled each while, since the store may
-/// serve them. Only one that no peer answers stands for itself. Sans-I/O.
+/// During a store outage every instance finds its source's state stale and
+/// would query the store. 295 instances queried it three times a second each
+/// throughout the outage (12,809 calls on a day with eight such seconds), and
+/// all of them hit the store on its return. Therefore the number of instances
+/// that query it is bounded, whatever the size of the fleet: the region's
+/// watchers, and while those are disconnected a few more, doubled at intervals,
+/// since the store may be reachable for them. Only an instance without a
+/// response from any peer queries the store regardless of its rank. Sans-I/O.
 #pragma once
 
 #include "Core/core.h"
@@ -16,35 +17,36 @@
 
 namespace amaranthhoist {
 
-/// State older than this is no use to others: two polls along the longest way
-/// from a watcher, a trip between regions, and a third as much again.
+/// Age from which state is stale for other instances: two polls along the
+/// longest way from a watcher, a trip between regions, and a third as much
+/// again.
 inline constexpr duration OldState = std::chrono::milliseconds(1'000);
-/// Instances of one region that ask the store at once at the most.
-inline constexpr std::size_t MostAskers = 8;
+/// Upper bound of the instances of one region that watch the store at a time.
+inline constexpr std::size_t MaxStoreWatchers = 8;
 
-/// What the decision rests on.
+/// Inputs of the decision.
 struct duty_view {
-  /// Place among the region's instances by preference; none: it leaves.
+  /// Rank among the region's instances by preference; none while shutting down.
   std::optional<std::size_t> Rank;
-  /// How old its state is.
+  /// Age of this instance's state.
   duration StateAge{};
-  /// Since a peer, or the store, last answered it.
-  duration SinceAnswer{};
-  /// Since it first knew the whole state.
-  duration SinceLearned{};
-  /// Whether it asks the store now.
-  bool IsAsking = false;
-  /// Whether its own object was listed when it learned. Then the fleet has run
-  /// before, and the list is whole.
+  /// Time since a peer or the store last responded.
+  duration SinceLastResponse{};
+  /// Time since this instance first had the full state.
+  duration SinceBootstrap{};
+  /// Whether it watches the store now.
+  bool IsWatching = false;
+  /// Whether its own object was listed when it bootstrapped. If so, the fleet
+  /// has run before and the instance list is complete.
   bool WasListed = false;
 };
 
 struct store_duty {
-  /// Asks at least until then, once it stepped in for others.
+  /// An instance that took over for others watches at least until then.
   instant Until{};
 };
 
-/// Whether to ask the store, from now on until the next decision.
-bool isOnDuty(store_duty &Duty, const duty_view &View, instant Now);
+/// Returns whether to watch the store until the next decision.
+bool isOnDuty(store_duty &Duty, const duty_view &Inputs, instant Now);
 
 } // namespace amaranthhoist
--- a/Tests/fleet_start.cpp
+++ b/Tests/fleet_start.cpp
@@ -21,32 +21,32 @@
 constexpr duration InDomain = microseconds(200);
 constexpr duration BetweenDomains = microseconds(900);
 constexpr duration BetweenRegions = milliseconds(35);
-/// As the node's learner.
+/// The same values as in the node.
 constexpr duration TickPeriod = milliseconds(20);
-constexpr duration AskTime = milliseconds(500);
+constexpr duration QueryTimeout = milliseconds(500);
 /// Instances start within this time of each other.
 constexpr std::int64_t StartSpreadUs = 300'000;
-/// Of a server: in the store's lists, and compressed.
+/// Bytes per server in the store's lists, and compressed.
 constexpr double StoreBytes = 350;
 constexpr double PackedBytes = 50;
 constexpr double StoreMbps = 1'000;
 constexpr std::size_t ServersPerPage = 500;
-/// Between two probes of one live instance.
+/// Interval between the probes of one live instance.
 constexpr duration ProbePeriod = milliseconds(500);
-constexpr duration Patience = seconds(20);
-constexpr instant Begin{seconds(1'000)};
+constexpr duration RunTimeout = seconds(20);
+constexpr instant StartTime{seconds(1'000)};
 
 struct instance {
   fleet_member Member;
   double Mbps = 0;
   bool IsDead = false;
   instant StartedAt{};
-  std::optional<instant> LearnedAt;
-  learning Learning;
-  hand_out HandOut;
-  /// Its link is busy until then with lists that it sends.
+  std::optional<instant> ReceivedAt;
+  learning Bootstrap;
+  hand_out Throttle;
+  /// Time until which its link is busy with snapshots that it sends.
   instant SendsUntil{};
-  bool HeardBusy = false;
+  bool SourceBusy = false;
   bool SeedBusy = false;
 };
 
@@ -64,30 +64,31 @@
   struct event {
     instant At;
     std::uint64_t Number;
-    std::function<void()> Act;
+    std::function<void()> Action;
     bool operator<(const event &Other) const {
       return std::tie(At, Number) > std::tie(Other.At, Other.Number);
     }
   };
 
-  void at(instant Time, std::function<void()> Act) {
-    Events.push({Time, Next++, std::move(Act)});
+  void runAt(instant Time, std::function<void()> Action) {
+    Events.push({Time, Next++, std::move(Action)});
   }
-  void after(duration Time, std::function<void()> Act) {
-    at(Now + Time, std::move(Act));
+  void runAfter(duration Time, std::function<void()> Action) {
+    runAt(Now + Time, std::move(Action));
   }
-  static duration distance(const fleet_member &Left, const fleet_member &Right);
-  void begin(std::size_t Index);
-  void awaitStore(std::size_t Index);
+  static duration latency(const fleet_member &Left, const fleet_member &Right);
+  void startInstance(std::size_t Index);
+  void awaitStoreDelay(std::size_t Index);
   void tick(std::size_t Index);
-  void ask(std::size_t Index, const std::string &Control,
-           bool instance::*IsBusy);
-  void answer(std::size_t Teller, std::size_t Asker, bool instance::*IsBusy);
-  void hearLater(std::size_t Asker, bool instance::*IsBusy,
-                 const std::vector<std::string> &Others);
+  void query(std::size_t Index, const std::string &Control,
+             bool instance::*IsBusy);
+  void respond(std::size_t Sender, std::size_t Requester,
+               bool instance::*IsBusy);
+  void handleReferral(std::size_t Requester, bool instance::*IsBusy,
+                      const std::vector<std::string> &Referrals);
   void listStore(std::size_t Index);
-  void learn(std::size_t Index, bool FromStore);
-  void tell(std::size_t Teller, const std::string &Control);
+  void onStateReceived(std::size_t Index, bool FromStore);
+  void announce(std::size_t Sender, const std::string &Control);
   void probe(std::size_t Index);
 
   fleet_size Size;
@@ -95,11 +96,11 @@
   std::vector<instance> Instances;
   std::map<std::string, std::size_t> ByControl;
   std::vector<std::string> Seeds;
-  /// As the store lists it.
+  /// The instances that the store lists.
   fleet Listed;
   std::priority_queue<event> Events;
   std::uint64_t Next = 0;
-  instant Now = Begin;
+  instant Now = StartTime;
   instant StoreSendsUntil{};
   std::mt19937_64 Random{7};
   start_outcome Outcome;
@@ -116,163 +117,173 @@
     ByControl[Member.Control] = Instances.size();
     Instances.push_back(std::move(Instance));
   }
-  // One of each of three regions, small ones among them.
+  // One instance of each of three regions, small ones included.
   for (std::size_t Seed = 0; Seed < 3; ++Seed)
     Seeds.push_back(Instances[Seed * Instances.size() / 3 + 1].Member.Control);
   if (!Conditions.InstancesAreListed)
     Listed.Members.clear();
 }
 
-duration fleet_start::distance(const fleet_member &Left,
-                               const fleet_member &Right) {
+duration fleet_start::latency(const fleet_member &Left,
+                              const fleet_member &Right) {
   if (Left.Region != Right.Region)
     return BetweenRegions;
   return Left.FailureDomain == Right.FailureDomain ? InDomain : BetweenDomains;
 }
 
-void fleet_start::begin(std::size_t Index) {
+void fleet_start::startInstance(std::size_t Index) {
   instance &Instance = Instances[Index];
   Instance.StartedAt = Now;
-  Instance.Learning =
+  Instance.Bootstrap =
       startLearning({Instance.Member.Control, Seeds, Instance.Mbps,
                      stableHash(Instance.Member.Name)},
                     Now);
-  Instance.HandOut = makeHandOut(Instance.Mbps, Now);
+  Instance.Throttle = makeHandOut(Instance.Mbps, Now);
   tick(Index);
-  awaitStore(Index);
+  awaitStoreDelay(Index);
 }
 
-void fleet_start::awaitStore(std::size_t Index) {
+void fleet_start::awaitStoreDelay(std::size_t Index) {
   const instance &Instance = Instances[Index];
-  if (Instance.LearnedAt)
+  if (Instance.ReceivedAt)
     return;
-  if (mayAskStore(Instance.Learning, Now))
+  if (mayAskStore(Instance.Bootstrap, Now))
     listStore(Index);
   else
-    at(Instance.Learning.AskStoreAt, [this, Index] { awaitStore(Index); });
+    runAt(Instance.Bootstrap.AskStoreAt,
+          [this, Index] { awaitStoreDelay(Index); });
 }
 
 void fleet_start::tick(std::size_t Index) {
   instance &Instance = Instances[Index];
-  if (Instance.LearnedAt)
+  if (Instance.ReceivedAt)
     return;
-  if (!Instance.HeardBusy)
-    if (const auto Control = takeHeard(Instance.Learning))
-      ask(Index, *Control, &instance::HeardBusy);
+  if (!Instance.SourceBusy)
+    if (const auto Control = takeHeard(Instance.Bootstrap))
+      query(Index, *Control, &instance::SourceBusy);
   if (!Instance.SeedBusy)
-    if (const auto Control = takeSeed(Instance.Learning, Now))
-      ask(Index, *Control, &instance::SeedBusy);
-  after(TickPeriod, [this, Index] { tick(Index); });
+    if (const auto Control = takeSeed(Instance.Bootstrap, Now))
+      query(Index, *Control, &instance::SeedBusy);
+  runAfter(TickPeriod, [this, Index] { tick(Index); });
 }
 
-void fleet_start::ask(std::size_t Index, const std::string &Control,
-                      bool instance::*IsBusy) {
-  const std::size_t Teller = ByControl.at(Control);
+void fleet_start::query(std::size_t Index, const std::string &Control,
+                        bool instance::*IsBusy) {
+  const std::size_t Sender = ByControl.at(Control);
   Instances[Index].*IsBusy = true;
-  const duration Way =
-      distance(Instances[Index].Member, Instances[Teller].Member);
-  const auto Give = [this, Index, IsBusy] { Instances[Index].*IsBusy = false; };
-  // Nothing comes back from a machine without power.
-  if (Instances[Teller].IsDead)
-    return after(AskTime, Give);
-  // A machine whose process doesn't listen yet refuses.
-  if (Instances[Teller].StartedAt == instant())
-    return after(2 * Way, Give);
-  // There and back for the connection, and there for the question.
-  after(3 * Way,
-        [this, Teller, Index, IsBusy] { answer(Teller, Index, IsBusy); });
+  const duration OneWay =
+      latency(Instances[Index].Member, Instances[Sender].Member);
+  const auto Release = [this, Index, IsBusy] {
+    Instances[Index].*IsBusy = false;
+  };
+  // A machine without power sends nothing; the query times out.
+  if (Instances[Sender].IsDead)
+    return runAfter(QueryTimeout, Release);
+  // A machine whose process doesn't listen yet refuses the connection.
+  if (Instances[Sender].StartedAt == instant())
+    return runAfter(2 * OneWay, Release);
+  // A round trip for the connection, and one way for the request.
+  runAfter(3 * OneWay,
+           [this, Sender, Index, IsBusy] { respond(Sender, Index, IsBusy); });
 }
 
-void fleet_start::answer(std::size_t Teller, std::size_t Asker,
-                         bool instance::*IsBusy) {
-  instance &From = Instances[Teller];
-  const fleet_member &To = Instances[Asker].Member;
-  const new_instance Who{To.FailureDomain, To.Region, To.Control, To.Peer};
-  const duration Way = distance(From.Member, To);
+void fleet_start::respond(std::size_t Sender, std::size_t Requester,
+                          bool instance::*IsBusy) {
+  instance &From = Instances[Sender];
+  const fleet_member &To = Instances[Requester].Member;
+  const new_instance RequesterInfo{To.FailureDomain, To.Region, To.Control,
+                                   To.Peer};
+  const duration OneWay = latency(From.Member, To);
   const double Bytes = PackedBytes * static_cast<double>(Size.Servers);
-  if (!From.LearnedAt) {
-    noteWaiting(From.HandOut, Who);
-    after(Way, [this, Asker, IsBusy] { hearLater(Asker, IsBusy, {}); });
+  if (!From.ReceivedAt) {
+    noteWaiting(From.Throttle, RequesterInfo);
+    runAfter(OneWay, [this, Requester, IsBusy] {
+      handleReferral(Requester, IsBusy, {});
+    });
     return;
   }
-  if (!mayHandOut(From.HandOut, Who, static_cast<std::size_t>(Bytes), Now)) {
-    const auto Others = referralsFor(From.HandOut, Who);
-    after(Way,
-          [this, Asker, IsBusy, Others] { hearLater(Asker, IsBusy, Others); });
+  if (!mayHandOut(From.Throttle, RequesterInfo, static_cast<std::size_t>(Bytes),
+                  Now)) {
+    const auto Referrals = referralsFor(From.Throttle, RequesterInfo);
+    runAfter(OneWay, [this, Requester, IsBusy, Referrals] {
+      handleReferral(Requester, IsBusy, Referrals);
+    });
     return;
   }
   From.SendsUntil =
       std::max(From.SendsUntil, Now) + transferTime(Bytes, From.Mbps);
-  const duration Received = transferTime(Bytes, Instances[Asker].Mbps);
-  at(From.SendsUntil + Way + Received, [this, Asker, IsBusy] {
-    Instances[Asker].*IsBusy = false;
-    learn(Asker, /*FromStore=*/false);
+  const duration Received = transferTime(Bytes, Instances[Requester].Mbps);
+  runAt(From.SendsUntil + OneWay + Received, [this, Requester, IsBusy] {
+    Instances[Requester].*IsBusy = false;
+    onStateReceived(Requester, /*FromStore=*/false);
   });
 }
 
-/// The answer of one that has no lists to give now.
-void fleet_start::hearLater(std::size_t Asker, bool instance::*IsBusy,
-                            const std::vector<std::string> &Others) {
-  instance &Instance = Instances[Asker];
+/// Handles the response of an instance that serves no snapshot now.
+void fleet_start::handleReferral(std::size_t Requester, bool instance::*IsBusy,
+                                 const std::vector<std::string> &Referrals) {
+  instance &Instance = Instances[Requester];
   Instance.*IsBusy = false;
-  if (!mayAskStore(Instance.Learning, Now))
-    noteSignOfLife(Instance.Learning, Now);
-  for (const std::string &Other : Others)
-    hearOfSource(Instance.Learning, Other);
+  if (!mayAskStore(Instance.Bootstrap, Now))
+    noteSignOfLife(Instance.Bootstrap, Now);
+  for (const std::string &Referral : Referrals)
+    hearOfSource(Instance.Bootstrap, Referral);
 }
 
 void fleet_start::listStore(std::size_t Index) {
   instance &Instance = Instances[Index];
-  if (Instance.LearnedAt)
+  if (Instance.ReceivedAt)
     return;
   ++Outcome.StoreLists;
   if (Conditions.StoreIsSilent)
     return;
   const double Bytes = StoreBytes * static_cast<double>(Size.Servers);
   const std::size_t Pages = 1 + Size.Servers / ServersPerPage;
-  // The store stands in the first region.
-  const duration Way =
+  // The store is located in the first region.
+  const duration OneWay =
       Instance.Member.Region == "r0" ? BetweenDomains : BetweenRegions;
   StoreSendsUntil =
       std::max(StoreSendsUntil, Now) + transferTime(Bytes, StoreMbps);
-  const duration Trips = 2 * Way * static_cast<std::int64_t>(1 + Pages);
-  at(StoreSendsUntil + Trips + transferTime(Bytes, Instance.Mbps),
-     [this, Index] { learn(Index, /*FromStore=*/true); });
+  const duration RoundTrips = 2 * OneWay * static_cast<std::int64_t>(1 + Pages);
+  runAt(StoreSendsUntil + RoundTrips + transferTime(Bytes, Instance.Mbps),
+        [this, Index] { onStateReceived(Index, /*FromStore=*/true); });
 }
 
-void fleet_start::learn(std::size_t Index, bool FromStore) {
+void fleet_start::onStateReceived(std::size_t Index, bool FromStore) {
   instance &Instance = Instances[Index];
-  if (Instance.LearnedAt)
+  if (Instance.ReceivedAt)
     return;
-  Instance.LearnedAt = Now;
-  for (const new_instance &Waiting : Instance.HandOut.Waiting)
-    tell(Index, Waiting.Control);
+  Instance.ReceivedAt = Now;
+  for (const new_instance &Waiting : Instance.Throttle.Waiting)
+    announce(Index, Waiting.Control);
   Listed.Own = Instance.Member;
   const auto Bytes =
       static_cast<std::size_t>(PackedBytes * static_cast<double>(Size.Servers));
-  std::size_t Told = 0;
+  std::size_t Notified = 0;
   for (const std::string &Name : membersToTell(Listed, FromStore)) {
     const std::string &Control = Listed.Members.at(Name).Control;
-    after(timeToHandOut(Instance.HandOut, Told++, Bytes),
-          [this, Index, Control] { tell(Index, Control); });
+    runAfter(timeToHandOut(Instance.Throttle, Notified++, Bytes),
+             [this, Index, Control] { announce(Index, Control); });
   }
 }
 
-void fleet_start::tell(std::size_t Teller, const std::string &Control) {
+void fleet_start::announce(std::size_t Sender, const std::string &Control) {
   const std::size_t Index = ByControl.at(Control);
-  const duration Way =
-      distance(Instances[Teller].Member, Instances[Index].Member);
-  after(Way, [this, Index, Teller] {
-    instance &Told = Instances[Index];
-    if (!Told.LearnedAt && !Told.IsDead && Told.StartedAt != instant())
-      hearOfSource(Told.Learning, Instances[Teller].Member.Control);
+  const duration OneWay =
+      latency(Instances[Sender].Member, Instances[Index].Member);
+  runAfter(OneWay, [this, Index, Sender] {
+    instance &Notified = Instances[Index];
+    if (!Notified.ReceivedAt && !Notified.IsDead &&
+        Notified.StartedAt != instant())
+      hearOfSource(Notified.Bootstrap, Instances[Sender].Member.Control);
   });
 }
 
-/// A live instance probes another one at random, which shows its address.
+/// A live instance probes a random instance, and the probe carries its control
+/// address.
 void fleet_start::probe(std::size_t Index) {
-  tell(Index, Instances[Random() % Instances.size()].Member.Control);
-  after(ProbePeriod, [this, Index] { probe(Index); });
+  announce(Index, Instances[Random() % Instances.size()].Member.Control);
+  runAfter(ProbePeriod, [this, Index] { probe(Index); });
 }
 
 start_outcome fleet_start::run() {
@@ -285,25 +296,25 @@
       continue;
     const double Draw = std::uniform_real_distribution<double>()(Random);
     if (Draw < Conditions.ShareAlive) {
-      Instance.LearnedAt = Begin;
-      Instance.StartedAt = Begin;
-      Instance.HandOut = makeHandOut(Instance.Mbps, Begin);
-      at(Begin, [this, Index] { probe(Index); });
+      Instance.ReceivedAt = StartTime;
+      Instance.StartedAt = StartTime;
+      Instance.Throttle = makeHandOut(Instance.Mbps, StartTime);
+      runAt(StartTime, [this, Index] { probe(Index); });
       continue;
     }
-    at(Begin + duration(Random() % StartSpreadUs),
-       [this, Index] { begin(Index); });
+    runAt(StartTime + duration(Random() % StartSpreadUs),
+          [this, Index] { startInstance(Index); });
   }
-  while (!Events.empty() && Events.top().At < Begin + Patience) {
+  while (!Events.empty() && Events.top().At < StartTime + RunTimeout) {
     const event Event = Events.top();
     Events.pop();
     Now = Event.At;
-    Event.Act();
+    Event.Action();
   }
   std::vector<duration> Times;
   for (const instance &Instance : Instances)
-    if (Instance.LearnedAt)
-      Times.push_back(*Instance.LearnedAt - Instance.StartedAt);
+    if (Instance.ReceivedAt)
+      Times.push_back(*Instance.ReceivedAt - Instance.StartedAt);
   std::sort(Times.begin(), Times.end());
   Outcome.Learned = Times.size();
   if (!Times.empty())
--- a/Tests/state_spread_test.cpp
+++ b/Tests/state_spread_test.cpp
@@ -1,5 +1,6 @@
-// How the store's state reaches every instance: whom a new one asks, what is
-// handed out, who asks the store; at fleets of 9 to 1,900 instances.
+// Tests the distribution of the store's state to all instances: the bootstrap
+// of new instances, the limit on served snapshots and the choice of watchers,
+// in fleets of 9 to 1,900 instances.
 
 #include "PeerMessages/peer_messages.h"
 #include "StateSpread/hand_out.h"
@@ -25,7 +26,7 @@
 
 namespace {
 
-/// What a start may cost at most, by size of the fleet.
+/// Upper bounds of a fleet's start, by size of the fleet.
 struct start_limit {
   std::size_t StoreLists = 0;
   duration After95{};
@@ -46,23 +47,24 @@
   }
 }
 
-// Pattern: all instances of a fleet lose power and start again within 0.3 s of
-// each other; the store and the list of instances from before are there.
-// Symptom: callers are refused for seconds. Cause: a copy of the lists for each
-// instance through the store's link, in trips of 70 ms a page from far regions.
-// Figures: the links and distances of fleets as operated, small seeds. Of 295
-// instances 15 list the store and 95 of 100 know after 0.49 s; of 1,900, with
-// lists of 2.5 MB, 180 after 2.1 s.
-TEST(StateSpread, AFleetThatRestartsIsToldByAFew) {
+// All instances of a fleet lose power and start again within 0.3 s of each
+// other; the store still lists the instances of the earlier run. Guards against
+// callers being refused for seconds because every instance lists the store: the
+// copies saturate the store's link, and each page costs far regions a trip of
+// 70 ms. The links and distances are those of fleets in operation, with small
+// seeds. Of 295 instances 15 list the store and 95 of 100 have the state after
+// 0.49 s; of 1,900, with snapshots of 2.5 MB, 180 list it and 95 of 100 have
+// the state after 2.1 s.
+TEST(StateSpread, FleetRestartBootstrapsFromFewInstances) {
   checkStarts({}, {{{9, milliseconds(250)},
                     {10, milliseconds(500)},
                     {20, milliseconds(500)},
                     {200, milliseconds(2'200)}}});
 }
 
-// The same at the very first start, when nobody is listed yet: the seeds are
-// all that is known, and the seeds here have links of 10 and 20 Mbit/s.
-TEST(StateSpread, AFleetThatStartsForTheFirstTimeIsToldByItsSeeds) {
+// The same at the very first start, when the store lists no instance yet: only
+// the seeds are known, and the seeds here have links of 10 and 20 Mbit/s.
+TEST(StateSpread, FirstStartBootstrapsFromSeeds) {
   start_conditions Conditions;
   Conditions.InstancesAreListed = false;
   checkStarts(Conditions, {{{9, milliseconds(250)},
@@ -71,11 +73,11 @@
                             {220, milliseconds(3'800)}}});
 }
 
-// Symptom: a fleet doesn't come back. Cause: relying on the few addresses that
-// the settings name. They are all dead here; the best placed others go to the
-// store themselves and tell the rest. At 1,900 instances the store's link is
-// what binds, 11 s.
-TEST(StateSpread, DeadSeedsAreSurvived) {
+// Guards against a fleet that doesn't start because it relies on the few
+// addresses in the settings. All seeds are dead here; the instances with the
+// fastest links list the store and notify the rest. At 1,900 instances the
+// store's link is the bottleneck, 11 s.
+TEST(StateSpread, BootstrapsDespiteDeadSeeds) {
   start_conditions Conditions;
   Conditions.SeedsAreDead = true;
   checkStarts(Conditions, {{{6, milliseconds(250)},
@@ -84,9 +86,10 @@
                             {600, seconds(12)}}});
 }
 
-// Symptom: half of a fleet restarts while the store is silent, and knows
-// nothing. The other half lives, and its datagrams find the new ones.
-TEST(StateSpread, ASilentStoreAndDeadSeedsAreSurvivedIfPeersLive) {
+// Half of a fleet restarts during a store outage while the seeds are dead.
+// Guards against instances without state: the datagrams of the live half
+// announce sources to the new ones.
+TEST(StateSpread, BootstrapsFromPeersDespiteStoreOutageAndDeadSeeds) {
   start_conditions Conditions;
   Conditions.SeedsAreDead = true;
   Conditions.StoreIsSilent = true;
@@ -97,9 +100,10 @@
                             {150, seconds(2)}}});
 }
 
-// Instances that are replaced, one in twenty at once, learn from the fleet. Few
-// of them are so well placed that they ask the store before a seed answers.
-TEST(StateSpread, ReplacedInstancesCostTheStoreLittle) {
+// Instances that are replaced, one in twenty at once, bootstrap from the fleet.
+// Few of them have a link so fast that they list the store before a seed
+// responds.
+TEST(StateSpread, ReplacedInstancesRarelyListTheStore) {
   start_conditions Conditions;
   Conditions.ShareAlive = 0.95;
   checkStarts(Conditions, {{{3, milliseconds(250)},
@@ -108,33 +112,34 @@
                             {15, milliseconds(400)}}});
 }
 
-// A seed with a slow link hands out what its link carries and sends the rest to
-// those that it served, of the asker's own failure domain first.
-TEST(StateSpread, ASlowSeedSendsOthersToThoseItServed) {
+// A seed with a slow link serves as many snapshots as its link carries and
+// refers the other requesters to instances that it served, starting with the
+// requester's own failure domain.
+TEST(StateSpread, SlowSeedRefersRequestersToServedInstances) {
   constexpr std::size_t ListBytes = 53'000;
-  hand_out HandOut = makeHandOut(20, Start);
+  hand_out Throttle = makeHandOut(20, Start);
   int Served = 0;
   for (int Number = 0; Number < 50; ++Number) {
     const std::string Control = "n" + std::to_string(Number);
     const std::string Domain = Number % 2 == 0 ? "a1" : "b1";
-    Served += mayHandOut(HandOut, {Domain, "a", Control, ""}, ListBytes, Start)
+    Served += mayHandOut(Throttle, {Domain, "a", Control, ""}, ListBytes, Start)
                   ? 1
                   : 0;
   }
-  // A fifth of a second of half of the link, 250 KB.
+  // A burst of a fifth of a second at half of the link, 250 KB.
   LONGS_EQUAL(5, Served);
-  const auto Others = referralsFor(HandOut, {"b1", "a", "n99", ""});
-  LONGS_EQUAL(4, Others.size());
-  // n1 and n3 are the served ones of that domain.
-  const std::set<std::string> First(Others.begin(), Others.begin() + 2);
+  const auto Referrals = referralsFor(Throttle, {"b1", "a", "n99", ""});
+  LONGS_EQUAL(4, Referrals.size());
+  // n1 and n3 are the served instances of that domain.
+  const std::set<std::string> First(Referrals.begin(), Referrals.begin() + 2);
   CHECK(First == std::set<std::string>({"n1", "n3"}));
-  // The allowance comes back with time.
-  CHECK(mayHandOut(HandOut, {"a1", "a", "late", ""}, ListBytes,
+  // The allowance is refilled over time.
+  CHECK(mayHandOut(Throttle, {"a1", "a", "late", ""}, ListBytes,
                    Start + seconds(1)));
 }
 
 // A list of servers is repetitive; see PeerMessages.
-TEST(StateSpread, WholeListsTravelCompressed) {
+TEST(StateSpread, SnapshotsAreCompressed) {
   kind_changes Servers;
   Servers.Kind = object_kind::Target;
   Servers.IsFull = true;
@@ -154,49 +159,50 @@
   Changes.Kinds.push_back(Servers);
   const std::string Bytes = encodeChanges(Changes);
   CHECK_COMPARE(Bytes.size(), <, 80'000U);
-  const auto Back = decodeChanges(Bytes);
-  CHECK(Back.has_value());
-  UNSIGNED_LONGS_EQUAL(1'080, Back->Kinds[0].Changes.size());
-  CHECK(Back->Kinds[0].Changes[7].Text == Servers.Changes[7].Text);
+  const auto Decoded = decodeChanges(Bytes);
+  CHECK(Decoded.has_value());
+  UNSIGNED_LONGS_EQUAL(1'080, Decoded->Kinds[0].Changes.size());
+  CHECK(Decoded->Kinds[0].Changes[7].Text == Servers.Changes[7].Text);
 }
 
-// Symptom: an instance takes 4 GB for a message of a few bytes. Cause:
-// believing a peer's word on the size before compression.
-TEST(StateSpread, ALieAboutTheSizeIsNotBelieved) {
-  const packed_kinds Lie{std::string(64, 'x'), std::size_t(1) << 31U};
-  CHECK_FALSE(decodeChanges(encodeChanges({}, Lie)).has_value());
+// Guards against an allocation of 4 GB for a message of a few bytes, caused by
+// trusting the uncompressed size that a peer states.
+TEST(StateSpread, FalseUncompressedSizeIsRejected) {
+  const packed_kinds FalseSize{std::string(64, 'x'), std::size_t(1) << 31U};
+  CHECK_FALSE(decodeChanges(encodeChanges({}, FalseSize)).has_value());
   const packed_kinds Garbage{std::string(64, 'x'), 1'000};
   CHECK_FALSE(decodeChanges(encodeChanges({}, Garbage)).has_value());
 }
 
-// Symptom: every instance probes the store while it is away, 885 calls a second
-// at 295 instances. Figures: an outage of eight seconds; whatever the size, no
-// more than eight a region ask.
-TEST(StateSpread, AnOutageIsProbedByAFewWhateverTheSize) {
+// Guards against every instance querying the store during an outage, 885 calls
+// a second at 295 instances. In an outage of eight seconds no more than eight
+// instances per region query it, whatever the size of the fleet.
+TEST(StateSpread, OutagePollersAreBoundedForAnyFleetSize) {
   for (const std::size_t Instances : {9U, 75U, 295U, 1'900U}) {
-    std::size_t Most = 0;
+    std::size_t Peak = 0;
     std::vector<store_duty> Duties(Instances);
     for (duration Age{}; Age < seconds(8); Age += milliseconds(150)) {
-      std::size_t Asking = 0;
+      std::size_t Watching = 0;
       for (std::size_t Rank = 0; Rank < Instances; ++Rank)
-        Asking +=
+        Watching +=
             isOnDuty(Duties[Rank], {Rank, Age, {}, seconds(60)}, Start + Age)
                 ? 1
                 : 0;
-      Most = std::max(Most, Asking);
+      Peak = std::max(Peak, Watching);
     }
-    CHECK_COMPARE(Most, <=, MostAskers);
+    CHECK_COMPARE(Peak, <=, MaxStoreWatchers);
   }
 }
 
-// The other side: watchers that are blind, or dead and not yet known to be, are
-// stood in for by the next ones well within the time for a change.
-TEST(StateSpread, TheNextOnesStepInForBlindWatchers) {
+// When watchers are disconnected, or dead but not yet detected as such, the
+// next instances take over well within the time in which a change must be in
+// force.
+TEST(StateSpread, NextInstancesTakeOverForDisconnectedWatchers) {
   store_duty Third;
   const duration Long = seconds(60);
   CHECK_FALSE(isOnDuty(Third, {2, milliseconds(900), {}, Long}, Start));
   CHECK(isOnDuty(Third, {2, milliseconds(1'300), {}, Long}, Start));
-  // For a while, also when state is fresh again.
+  // Continues for a while, also after the state is fresh again.
   CHECK(isOnDuty(Third, {2, {}, {}, Long}, Start + seconds(2)));
   CHECK_FALSE(isOnDuty(Third, {2, {}, {}, Long}, Start + seconds(4)));
   store_duty Fifth;
@@ -204,39 +210,43 @@
   CHECK(isOnDuty(Fifth, {4, milliseconds(2'800), {}, Long}, Start));
 }
 
-// One that no peer answers stands for itself, whatever its place.
-TEST(StateSpread, AnInstanceAloneAsksTheStore) {
+// An instance without a response from any peer watches the store, whatever its
+// rank.
+TEST(StateSpread, IsolatedInstanceWatchesTheStore) {
   store_duty Duty;
   CHECK(isOnDuty(Duty, {150, seconds(3), seconds(3), seconds(60)}, Start));
 }
 
-// Symptom: 209 of 295 instances watched the store in the second after a first
-// start. Cause: each knew few others yet and found itself among the first.
-TEST(StateSpread, ANewInstanceWaitsBeforeItWatches) {
+// Guards against a first start in which 209 of 295 instances watched the store
+// within a second, because each had seen few others yet and ranked itself among
+// the first.
+TEST(StateSpread, NewInstanceSettlesBeforeWatching) {
   store_duty Duty;
   CHECK_FALSE(isOnDuty(Duty, {0, {}, {}, milliseconds(700)}, Start));
   CHECK(isOnDuty(Duty, {0, {}, {}, milliseconds(1'600)}, Start));
-  // One that asked the store to learn goes on.
+  // An instance that bootstrapped from the store continues to watch it.
   CHECK(isOnDuty(Duty, {0, {}, {}, milliseconds(10), true}, Start));
 }
 
-// Symptom: a request reaches a server 3.07 s after it had said that it leaves.
-// Sequence: nodes are restarted in turn, both watchers of a region among them;
-// they are up again, so that those who stood in for them step back, and wait
-// before they watch; nobody of the region hears of the store meanwhile. Cause:
-// taking an instance that was restarted for one of a fleet that is new.
-TEST(StateSpread, ARestartedWatcherWatchesAtOnce) {
+// Guards against a request that reaches a server 3.07 s after the server
+// announced its shutdown. Nodes are restarted in turn, both watchers of a
+// region among them. Once they are up again, the instances that took over stop
+// watching, but the restarted watchers wait as if the whole fleet were new, so
+// no instance of the region gets changes from the store meanwhile.
+TEST(StateSpread, RestartedWatcherWatchesAtOnce) {
   store_duty Duty;
-  const duration Just = milliseconds(100);
-  CHECK(isOnDuty(Duty, {0, {}, {}, Just, false, /*WasListed=*/true}, Start));
-  // Those behind the first ones have no part in it.
+  const duration JustBootstrapped = milliseconds(100);
+  CHECK(isOnDuty(Duty, {0, {}, {}, JustBootstrapped, false, /*WasListed=*/true},
+                 Start));
+  // Instances with a lower rank don't watch.
   store_duty Behind;
-  CHECK_FALSE(isOnDuty(Behind, {2, {}, {}, Just, false, true}, Start));
+  CHECK_FALSE(
+      isOnDuty(Behind, {2, {}, {}, JustBootstrapped, false, true}, Start));
 }
 
-// The other half of it: whoever stood in goes on until the one that is back has
-// heard from the store.
-TEST(StateSpread, AStandInGoesOnForAMoment) {
+// An instance that took over continues until the returned watcher has had a
+// response from the store.
+TEST(StateSpread, TakeoverOverlapsWithReturnedWatcher) {
   store_duty Duty;
   const duration Long = seconds(60);
   CHECK(isOnDuty(Duty, {1, {}, {}, Long, true}, Start));
@@ -244,9 +254,10 @@
   CHECK_FALSE(isOnDuty(Duty, {2, {}, {}, Long, true}, Start + seconds(2)));
 }
 
-// Pattern: a region of 98 instances. Symptom: its two watchers answer 245 polls
-// a second. In a large region none serves more than a bounded number.
-TEST(StateSpread, NobodyServesMoreThanItsFanOut) {
+// Guards against two watchers of a region of 98 instances that answer 245 polls
+// a second. No instance of a large region serves more than a bounded number of
+// others.
+TEST(StateSpread, FollowersPerInstanceAreBounded) {
   for (const fleet_size &Size : FleetSizes) {
     fleet Fleet = makeListedFleet(Size);
     std::map<std::string, std::size_t> Followers;
