--- a/Libraries/Fleet/fleet.cpp
+++ b/Libraries/Fleet/fleet.cpp
@@ -6,27 +6,26 @@
 
 namespace amaranthhoist {
 
-/// Instances that a failure domain must have up for its callers to be sent to
-/// those alone: with one, its loss would leave them none until their next
-/// look-up.
-static constexpr std::size_t LeastInDomain = 2;
-
-/// What one request costs the instance that passes it on, by the two users'
-/// traffic: 0.23 ms of processor time as measured, and answers of 7 and 12 KB
-/// on average.
+/// Instances that must be up in a failure domain for its callers to be sent to
+/// those alone: with one, its loss would leave the callers none until their
+/// next lookup.
+static constexpr std::size_t MinUpInDomain = 2;
+
+/// Cost of forwarding one request, from the traffic of the two users: 0.23 ms
+/// of processor time as measured, and responses of 7 and 12 KB on average.
 static constexpr double ProcessorSecondsPerRequest = 0.000'25;
 static constexpr double BitsPerRequest = 80'000;
-/// Instances whose capacities differ by less are taken for equal, and all
-/// named.
-static constexpr double EqualWithin = 1.5;
-/// Addresses drawn for one answer where capacities differ. The fewer, the
-/// closer callers keep to the capacities; but a caller whose instances have all
-/// failed waits for another look-up.
-static constexpr std::size_t Draws = 4;
-static constexpr std::size_t LeastDistinct = 3;
-
-/// Draws for a member that is up, as some aren't.
-static constexpr std::size_t PickTries = 8;
+/// Instances whose capacities differ by less than this factor count as equal,
+/// and all are returned.
+static constexpr double MaxEqualRatio = 1.5;
+/// Addresses drawn for one response when capacities differ. With fewer
+/// addresses, the callers' distribution follows the capacities more closely;
+/// but a caller whose instances have all failed has to wait for another lookup.
+static constexpr std::size_t DrawsPerLookup = 4;
+static constexpr std::size_t MinDistinctAddresses = 3;
+
+/// Attempts to draw a member that is up, since some are down.
+static constexpr std::size_t MaxPickAttempts = 8;
 
 using members = std::vector<const fleet_member *>;
 
@@ -36,33 +35,34 @@
 }
 
 template <typename Predicate>
-static members upWhere(const fleet &Fleet, Predicate Wanted) {
+static members upMembersMatching(const fleet &Fleet, Predicate Matches) {
   members Members;
-  if (Fleet.OwnIsReady && Wanted(Fleet.Own))
+  if (Fleet.OwnIsReady && Matches(Fleet.Own))
     Members.push_back(&Fleet.Own);
   for (const auto &[Name, Member] : Fleet.Members)
-    if (Wanted(Member) && isUp(Fleet.Membership, Name))
+    if (Matches(Member) && isUp(Fleet.Membership, Name))
       Members.push_back(&Member);
   return Members;
 }
 
 static members candidatesFor(const fleet &Fleet, std::string_view FailureDomain,
                              std::string_view Region) {
-  members Nearest = upWhere(Fleet, [&](const fleet_member &Member) {
+  members InDomain = upMembersMatching(Fleet, [&](const fleet_member &Member) {
     return Member.FailureDomain == FailureDomain;
   });
-  if (Nearest.size() >= LeastInDomain)
-    return Nearest;
-  members Near = upWhere(Fleet, [&](const fleet_member &Member) {
+  if (InDomain.size() >= MinUpInDomain)
+    return InDomain;
+  members InRegion = upMembersMatching(Fleet, [&](const fleet_member &Member) {
     return Member.Region == Region;
   });
-  if (!Near.empty())
-    return Near;
-  return upWhere(Fleet, [](const fleet_member &) { return true; });
+  if (!InRegion.empty())
+    return InRegion;
+  return upMembersMatching(Fleet, [](const fleet_member &) { return true; });
 }
 
-/// Draws by capacity, with replacement: so the share of answers in which an
-/// instance stands, and with it its share of callers, follows its capacity.
+/// Draws in proportion to capacity, with replacement, so that the share of
+/// responses that contain an instance, and with it its share of callers,
+/// follows its capacity.
 static members drawByCapacity(const members &Candidates,
                               std::mt19937_64 &Random) {
   std::vector<double> Capacities;
@@ -71,30 +71,30 @@
   std::discrete_distribution<std::size_t> Draw(Capacities.begin(),
                                                Capacities.end());
   std::set<std::size_t> Drawn;
-  for (std::size_t Index = 0; Index < Draws; ++Index)
+  for (std::size_t Index = 0; Index < DrawsPerLookup; ++Index)
     Drawn.insert(Draw(Random));
-  while (Drawn.size() < LeastDistinct)
+  while (Drawn.size() < MinDistinctAddresses)
     Drawn.insert(Draw(Random));
-  members Chosen;
+  members Selected;
   for (std::size_t Index : Drawn)
-    Chosen.push_back(Candidates[Index]);
-  return Chosen;
+    Selected.push_back(Candidates[Index]);
+  return Selected;
 }
 
-static bool areAlike(const members &Members) {
+static bool haveSimilarCapacity(const members &Members) {
   const auto [Least, Most] = std::minmax_element(
       Members.begin(), Members.end(),
       [](const fleet_member *Left, const fleet_member *Right) {
         return capacityOf(*Left) < capacityOf(*Right);
       });
-  return capacityOf(**Most) < EqualWithin * capacityOf(**Least);
+  return capacityOf(**Most) < MaxEqualRatio * capacityOf(**Least);
 }
 
 std::vector<std::string> addressesFor(fleet &Fleet,
                                       std::string_view FailureDomain,
                                       std::string_view Region) {
   members Members = candidatesFor(Fleet, FailureDomain, Region);
-  if (Members.size() > LeastDistinct && !areAlike(Members))
+  if (Members.size() > MinDistinctAddresses && !haveSimilarCapacity(Members))
     Members = drawByCapacity(Members, Fleet.Random);
   if (Members.size() > MaxAddresses)
     Members.resize(MaxAddresses);
@@ -106,7 +106,8 @@
 
 const fleet_member *pickUpMember(fleet &Fleet) {
   const std::size_t Size = Fleet.Members.size();
-  for (std::size_t Try = 0; Size > 0 && Try < PickTries; ++Try) {
+  for (std::size_t Attempt = 0; Size > 0 && Attempt < MaxPickAttempts;
+       ++Attempt) {
     const auto Member =
         std::next(Fleet.Members.begin(),
                   static_cast<std::ptrdiff_t>(Fleet.Random() % Size));
--- a/Libraries/Fleet/fleet.h
+++ b/Libraries/Fleet/fleet.h
@@ -1,5 +1,6 @@
-/// The instances that serve callers, and which of them a caller is told to
-/// use. Who is up is Membership's; here are their places. Sans-I/O.
+/// The instances that serve callers, and the choice of the addresses that a
+/// caller's lookup returns. Membership tracks which instances are up; this file
+/// holds their failure domains, regions and capacities. Sans-I/O.
 #pragma once
 
 #include "Core/core.h"
@@ -14,18 +15,18 @@
 
 namespace amaranthhoist {
 
-/// What an instance tells of itself through the platform's store.
+/// What an instance publishes about itself through the platform's store.
 struct fleet_member {
   std::string Name;
   std::string FailureDomain;
   std::string Region;
-  /// `ip:port` for callers.
+  /// Address for callers, `ip:port`.
   std::string Ingress;
-  /// `ip:port` for datagrams between instances.
+  /// Address for datagrams between instances, `ip:port`.
   std::string Peer;
-  /// `ip:port` for instances that ask for the store's objects.
+  /// Address at which other instances fetch the store's objects, `ip:port`.
   std::string Control;
-  /// Share of a core.
+  /// Processor capacity, in cores.
   double Processor = 1;
   /// Bandwidth of its link, Mbit/s.
   double LinkMbps = 1'000;
@@ -33,43 +34,45 @@
 };
 
 struct fleet {
-  /// All known instances but this one, by name.
+  /// All listed instances except this one, by name.
   std::map<std::string, fleet_member> Members;
   fleet_member Own;
-  /// Whether this instance takes callers.
+  /// Whether this instance accepts callers.
   bool OwnIsReady = false;
   bool OwnIsLeaving = false;
   membership Membership;
-  /// Draws the addresses of look-ups.
+  /// Draws the addresses of lookups.
   std::mt19937_64 Random;
 };
 
-/// The most addresses in one answer.
+/// Upper bound of the addresses in one lookup response.
 inline constexpr std::size_t MaxAddresses = 64;
 
-/// Requests a second that an instance can pass on, by its processor and link.
+/// Returns the requests per second that an instance can forward, limited by its
+/// processor and its link.
 double capacityOf(const fleet_member &Member);
 
-/// Addresses for callers in \p FailureDomain of \p Region: the instances that
-/// are up in their failure domain if there are some, else in their region, else
-/// anywhere. Callers pick one of them by chance, so that of instances of
-/// unequal capacity a few are drawn by it.
+/// Returns addresses for callers in \p FailureDomain of \p Region: the
+/// instances that are up in their failure domain if there are at least two,
+/// else in their region, else anywhere. Callers pick one of them at random;
+/// among instances of unequal capacity a few are therefore drawn in proportion
+/// to capacity.
 std::vector<std::string> addressesFor(fleet &Fleet,
                                       std::string_view FailureDomain,
                                       std::string_view Region);
 
-/// Another instance that is up, by chance; nullptr: none was found.
+/// Returns a random other instance that is up; nullptr if none was found.
 const fleet_member *pickUpMember(fleet &Fleet);
 
-/// The others among the first \p Count instances that are up in the order that
-/// \p Hash gives them.
+/// Returns the first \p Count instances that are up, ranked by rendezvous
+/// hashing of \p Hash, without this instance.
 std::vector<const fleet_member *>
 rendezvousMembers(const fleet &Fleet, std::uint64_t Hash, std::size_t Count);
 
-/// Sets the known instances from the platform's store.
+/// Replaces the listed instances with those from the platform's store.
 void setFleet(fleet &Fleet, std::vector<fleet_member> Members);
 
-/// Hashes of all known instances, this one included.
+/// Returns the hashes of all listed instances, this one included.
 std::vector<std::uint64_t> instanceHashes(const fleet &Fleet);
 
 } // namespace amaranthhoist
--- a/Tests/fleet_test.cpp
+++ b/Tests/fleet_test.cpp
@@ -1,4 +1,5 @@
-// Which instances callers are told to use, and which of them ask the store.
+// Tests which instances a lookup returns, and which instances watch the store
+// or serve as sources.
 
 #include "Fleet/fleet.h"
 #include "StateSpread/spread_tree.h"
@@ -40,7 +41,7 @@
 TEST_GROUP(Fleet) {};
 // clang-format on
 
-TEST(Fleet, CallersAreSentToTheirFailureDomainIfItHasTwo) {
+TEST(Fleet, CallersUseOwnFailureDomainIfTwoAreUp) {
   fleet Fleet = makeFleet({makeMember(1, "a1", "a"), makeMember(2, "a2", "a"),
                            makeMember(3, "b1", "b")});
   LONGS_EQUAL(2, addressesFor(Fleet, "a1", "a").size());
@@ -49,11 +50,11 @@
   LONGS_EQUAL(4, addressesFor(Fleet, "c1", "c").size());
 }
 
-// Pattern: instances of unequal size, callers that pick an address by chance.
-// Symptom: instances with a slow link are choked (connections to servers take
-// over 250 ms and count as unreachable) while large ones idle. Cause: look-ups
-// that name all instances alike.
-TEST(Fleet, CallersFollowTheCapacityOfUnequalInstances) {
+// Guards against overloaded slow links (connections to servers take over 250 ms
+// and count as unreachable) while large instances are idle. Occurs when lookups
+// return all instances of unequal size alike and callers pick an address at
+// random.
+TEST(Fleet, CallersAreDistributedByCapacity) {
   std::vector<fleet_member> Others;
   for (int Number = 1; Number <= 10; ++Number) {
     fleet_member Member = makeMember(Number, "a1", "a", 0.1);
@@ -68,17 +69,18 @@
   constexpr int Lookups = 5'000;
   for (int Index = 0; Index < Lookups; ++Index) {
     const auto Addresses = addressesFor(Fleet, "a1", "a");
-    // Whose instances fail has others to go to.
+    // A caller whose instance fails has alternatives.
     CHECK(Addresses.size() >= 3);
     for (const std::string &Address : Addresses)
       if (Address == "n0-call")
         OwnShare += 1.0 / static_cast<double>(Addresses.size()) / Lookups;
   }
-  // 62 % of the capacity; all alike it would get 9 %, drawn it gets 30 %.
+  // This instance has 62 % of the capacity; equal shares would give it 9 %, the
+  // draw gives it 30 %.
   CHECK(OwnShare > 0.25);
 }
 
-TEST(Fleet, InstancesOfEqualCapacityAreAllNamed) {
+TEST(Fleet, InstancesOfEqualCapacityAreAllReturned) {
   std::vector<fleet_member> Others;
   for (int Number = 1; Number <= 10; ++Number)
     Others.push_back(makeMember(Number, "a1", "a", 0.25));
@@ -86,9 +88,10 @@
   LONGS_EQUAL(11, addressesFor(Fleet, "a1", "a").size());
 }
 
-// Symptom: callers lose a second at an instance that is long dead. Cause: a
-// look-up that names what the store lists, where nothing expires.
-TEST(Fleet, InstancesThatAreDownAreNotNamed) {
+// Guards against callers that lose a second at an instance that has long been
+// down, because a lookup returns every instance that the store lists, where
+// nothing expires.
+TEST(Fleet, DownInstancesAreNotReturned) {
   fleet Fleet = makeFleet({makeMember(1, "a1", "a"), makeMember(2, "a1", "a")});
   markDown(Fleet, "n2");
   for (const std::string &Address : addressesFor(Fleet, "a1", "a"))
@@ -97,7 +100,7 @@
   LONGS_EQUAL(1, addressesFor(Fleet, "a1", "a").size());
 }
 
-TEST(Fleet, TwoWatchersFromDifferentDomainsAndLargeMachinesFirst) {
+TEST(Fleet, WatchersAreLargeAndFromDifferentDomains) {
   fleet Fleet =
       makeFleet({makeMember(1, "a1", "a"), makeMember(2, "a1", "a", 0.5),
                  makeMember(3, "a2", "a"), makeMember(4, "b1", "b", 0.9)});
@@ -106,36 +109,38 @@
   CHECK_EQUAL(std::string("n2"), Watchers[0]->Name);
   CHECK_EQUAL(std::string("n3"), Watchers[1]->Name);
   CHECK(ownRole(Fleet) != spread_role::Watcher);
-  // The loss of a watcher makes another one.
+  // The loss of a watcher promotes another instance.
   markDown(Fleet, "n3");
   markDown(Fleet, "n2");
   LONGS_EQUAL(2, watchers(Fleet).size());
   CHECK(ownRole(Fleet) == spread_role::Watcher);
 }
 
-// Symptom: all nodes of a region handle requests by a configuration that was
-// replaced three seconds ago. Sequence: the store turns away the region's two
-// watchers; each asks the other one, whose state isn't old yet, and goes on to
-// do so four times when it is; all others wait for them. Cause: asking first
-// those that depend on the asker, or are as blind as it.
-TEST(Fleet, ABlindWatcherAsksOtherRegionsWatchersFirst) {
+// Guards against all nodes of a region handling requests by a configuration
+// that was replaced three seconds before. The store refuses the region's two
+// watchers; each polls the other one, whose state isn't stale yet, and keeps
+// polling it, four times, once it is stale; all other nodes wait for them. A
+// disconnected watcher must not first poll instances that depend on it or are
+// disconnected as well.
+TEST(Fleet, DisconnectedWatcherPollsOtherRegionsFirst) {
   fleet Fleet =
       makeFleet({makeMember(1, "a2", "a"), makeMember(2, "a1", "a"),
                  makeMember(3, "b1", "b"), makeMember(4, "b2", "b", 0.5),
                  makeMember(5, "b1", "b", 0.5), makeMember(6, "b1", "b")});
-  const auto Sources = sourcesInOrder(Fleet, /*IsBlind=*/true);
+  const auto Sources = sourcesInOrder(Fleet, /*IsDisconnected=*/true);
   LONGS_EQUAL(6, Sources.size());
-  for (std::size_t Place : {0U, 1U})
-    DOUBLES_EQUAL(0.5, Sources[Place]->Processor, 0.01);
+  for (std::size_t Position : {0U, 1U})
+    DOUBLES_EQUAL(0.5, Sources[Position]->Processor, 0.01);
 }
 
-// Symptom: a node that the store turns away works on with old state. Cause: a
-// region whose nodes share its cut have nobody else to ask.
-TEST(Fleet, OtherRegionsAreFurtherSources) {
+// Guards against a node that is refused by the store and keeps working with
+// stale state, because all nodes of its region are affected and it has no other
+// source.
+TEST(Fleet, OtherRegionsAreFallbackSources) {
   fleet Fleet = makeFleet({makeMember(1, "a1", "a"), makeMember(2, "b1", "b")});
-  const auto Sources = sourcesInOrder(Fleet, /*IsBlind=*/false);
+  const auto Sources = sourcesInOrder(Fleet, /*IsDisconnected=*/false);
   LONGS_EQUAL(2, Sources.size());
-  // Its own region's watcher is asked first, the other region's next.
+  // The watcher of its own region is polled first, then the other region's.
   CHECK_EQUAL(std::string("n1"), Sources[0]->Name);
   CHECK_EQUAL(std::string("n2"), Sources[1]->Name);
 }
