--- a/Libraries/Membership/membership.cpp
+++ b/Libraries/Membership/membership.cpp
@@ -13,7 +13,7 @@
   });
   std::erase_if(Membership.NotUp,
                 [&](const std::string &Name) { return !Names.contains(Name); });
-  std::erase_if(Membership.Doubted, [&](const auto &Entry) {
+  std::erase_if(Membership.Suspected, [&](const auto &Entry) {
     return !Names.contains(Entry.first);
   });
   for (const std::string &Name : Names)
@@ -27,16 +27,16 @@
     return std::find(Names.begin(), Names.end(), Entry.first) == Names.end();
   });
   for (const std::string &Name : Names) {
-    // What was believed of it as a member is where its own counter goes on.
-    auto Believed = Membership.Members.find(Name);
+    // Continues from the incarnation that was last seen of it as a member.
+    auto Previous = Membership.Members.find(Name);
     own_member Own;
-    if (Believed != Membership.Members.end())
-      Own.Counter = Believed->second.Counter + 1;
-    Own.RepeatsLeft = Membership.Policy.BeliefRepeats;
+    if (Previous != Membership.Members.end())
+      Own.Counter = Previous->second.Counter + 1;
+    Own.TransmissionsLeft = Membership.Policy.TransmissionsPerUpdate;
     Membership.Own.try_emplace(Name, Own);
     Membership.Members.erase(Name);
     Membership.NotUp.erase(Name);
-    Membership.Doubted.erase(Name);
+    Membership.Suspected.erase(Name);
   }
 }
 
@@ -50,163 +50,168 @@
   return Membership.Members.contains(Name) && !Membership.NotUp.contains(Name);
 }
 
-/// Whether this instance is among those that check a rumour.
-static bool isChecker(membership &Membership) {
+/// Returns whether this instance is among those that verify a received
+/// suspicion at once.
+static bool isVerifier(membership &Membership) {
   const std::size_t Others =
       std::max<std::size_t>(Membership.Members.size(), 1);
-  return Membership.Random() % Others < Membership.Policy.Checkers;
+  return Membership.Random() % Others < Membership.Policy.ExpectedVerifiers;
 }
 
-/// Begins to doubt a member, by an own probe or by hearsay.
-static void doubt(membership &Membership, const std::string &Name,
-                  bool IsHearsay, instant Now) {
+/// Starts to suspect a member, because of an own probe or an unconfirmed
+/// suspicion.
+static void startSuspicion(membership &Membership, const std::string &Name,
+                           bool IsUnconfirmed, instant Now) {
   const membership_policy &Policy = Membership.Policy;
-  if (!IsHearsay) {
+  if (!IsUnconfirmed) {
     Membership.NotUp.insert(Name);
-    Membership.Doubted[Name] = {Now, Now};
+    Membership.Suspected[Name] = {Now, Now};
     return;
   }
   if (Membership.NotUp.contains(Name))
     return;
-  if (isChecker(Membership))
-    Membership.Doubted[Name] = {Now, Now + Policy.RumourTime};
+  if (isVerifier(Membership))
+    Membership.Suspected[Name] = {Now, Now + Policy.SuspicionVerifyTime};
   else
-    Membership.Doubted[Name] = {Now + Policy.RumourTime,
-                                Now + 2 * Policy.RumourTime};
+    Membership.Suspected[Name] = {Now + Policy.SuspicionVerifyTime,
+                                  Now + 2 * Policy.SuspicionVerifyTime};
 }
 
-static void change(membership &Membership, const std::string &Name,
-                   member_state &Member, member_status Status, bool IsHearsay,
-                   instant Now) {
+static void setStatus(membership &Membership, const std::string &Name,
+                      member_state &Member, member_status Status,
+                      bool IsUnconfirmed, instant Now) {
   if (Status != member_status::Suspect)
-    Membership.Doubted.erase(Name);
+    Membership.Suspected.erase(Name);
   switch (Status) {
   case member_status::Up:
     Membership.NotUp.erase(Name);
     break;
   case member_status::Suspect:
     Member.SuspectSince = Now;
-    doubt(Membership, Name, IsHearsay, Now);
+    startSuspicion(Membership, Name, IsUnconfirmed, Now);
     break;
   case member_status::Down:
     Membership.NotUp.insert(Name);
     break;
   }
   Member.Status = Status;
-  Member.RepeatsLeft = Membership.Policy.BeliefRepeats;
-  Membership.Changing.insert(Name);
+  Member.TransmissionsLeft = Membership.Policy.TransmissionsPerUpdate;
+  Membership.Pending.insert(Name);
 }
 
-static std::vector<member_belief> beliefsToSend(membership &Membership) {
-  std::vector<member_belief> Beliefs;
+static std::vector<member_update> collectUpdates(membership &Membership) {
+  std::vector<member_update> Updates;
   for (auto &[Name, Own] : Membership.Own) {
-    if (Own.RepeatsLeft <= 0)
+    if (Own.TransmissionsLeft <= 0)
       continue;
-    --Own.RepeatsLeft;
-    Beliefs.push_back({Name, member_status::Up, Own.Counter});
+    --Own.TransmissionsLeft;
+    Updates.push_back({Name, member_status::Up, Own.Counter});
   }
-  // From where the last message ended, all of them once at most: always from
-  // the first one, the last of many changes would wait for seconds.
-  std::size_t Left = Membership.Changing.size();
-  auto Name = Membership.Changing.lower_bound(Membership.NextBelief);
+  // Continues where the last message ended and visits each entry at most once:
+  // starting at the first entry each time would delay the last of many updates
+  // for seconds.
+  std::size_t Left = Membership.Pending.size();
+  auto Name = Membership.Pending.lower_bound(Membership.NextUpdate);
   while (Left-- > 0 &&
-         Beliefs.size() < Membership.Policy.MaxBeliefsPerMessage) {
-    if (Name == Membership.Changing.end())
-      Name = Membership.Changing.begin();
+         Updates.size() < Membership.Policy.MaxUpdatesPerMessage) {
+    if (Name == Membership.Pending.end())
+      Name = Membership.Pending.begin();
     auto Member = Membership.Members.find(*Name);
-    const bool Rests = Member == Membership.Members.end() ||
-                       (Member->second.RepeatsLeft <= 0 &&
-                        Member->second.Status != member_status::Suspect);
-    if (Rests) {
-      Name = Membership.Changing.erase(Name);
+    const bool IsDone = Member == Membership.Members.end() ||
+                        (Member->second.TransmissionsLeft <= 0 &&
+                         Member->second.Status != member_status::Suspect);
+    if (IsDone) {
+      Name = Membership.Pending.erase(Name);
       continue;
     }
-    if (Member->second.RepeatsLeft > 0) {
-      --Member->second.RepeatsLeft;
-      Beliefs.push_back({*Name, Member->second.Status, Member->second.Counter});
+    if (Member->second.TransmissionsLeft > 0) {
+      --Member->second.TransmissionsLeft;
+      Updates.push_back({*Name, Member->second.Status, Member->second.Counter});
     }
     ++Name;
   }
-  Membership.NextBelief =
-      Name == Membership.Changing.end() ? std::string() : *Name;
-  return Beliefs;
+  Membership.NextUpdate =
+      Name == Membership.Pending.end() ? std::string() : *Name;
+  return Updates;
 }
 
-static outgoing_membership_message make(membership &Membership,
-                                        const std::string &To, kind Kind,
-                                        const std::string &Subject,
-                                        const std::string &OnBehalfOf) {
-  return {To, {Kind, Subject, OnBehalfOf, beliefsToSend(Membership)}};
+static outgoing_membership_message makeMessage(membership &Membership,
+                                               const std::string &To, kind Kind,
+                                               const std::string &Subject,
+                                               const std::string &OnBehalfOf) {
+  return {To, {Kind, Subject, OnBehalfOf, collectUpdates(Membership)}};
 }
 
-static void hearBelief(membership &Membership, const member_belief &Belief,
-                       instant Now) {
-  auto Own = Membership.Own.find(Belief.Name);
+static void applyUpdate(membership &Membership, const member_update &Update,
+                        instant Now) {
+  auto Own = Membership.Own.find(Update.Name);
   if (Own != Membership.Own.end()) {
-    // Somebody suspects it: a higher counter says otherwise.
-    if (Belief.Status != member_status::Up &&
-        Belief.Counter >= Own->second.Counter)
-      Own->second = {Belief.Counter + 1, Membership.Policy.BeliefRepeats};
+    // Another instance suspects this member: a higher incarnation refutes it.
+    if (Update.Status != member_status::Up &&
+        Update.Counter >= Own->second.Counter)
+      Own->second = {Update.Counter + 1,
+                     Membership.Policy.TransmissionsPerUpdate};
     return;
   }
-  auto Found = Membership.Members.find(Belief.Name);
+  auto Found = Membership.Members.find(Update.Name);
   if (Found == Membership.Members.end())
     return;
   member_state &Member = Found->second;
-  const bool Newer =
-      Belief.Counter > Member.Counter ||
-      (Belief.Counter == Member.Counter && Belief.Status > Member.Status);
-  if (!Newer)
+  const bool IsNewer =
+      Update.Counter > Member.Counter ||
+      (Update.Counter == Member.Counter && Update.Status > Member.Status);
+  if (!IsNewer)
     return;
-  Member.Counter = Belief.Counter;
-  change(Membership, Belief.Name, Member, Belief.Status, /*IsHearsay=*/true,
-         Now);
+  Member.Counter = Update.Counter;
+  setStatus(Membership, Update.Name, Member, Update.Status,
+            /*IsUnconfirmed=*/true, Now);
 }
 
-/// An answer of its own is better than any rumour: whoever answers is up.
-static void heardFrom(membership &Membership, const std::string &Name,
-                      instant Now) {
+/// Marks \p Name as up: a response from the member itself overrides any update
+/// received from others.
+static void recordResponse(membership &Membership, const std::string &Name,
+                           instant Now) {
   auto Found = Membership.Members.find(Name);
   if (Found == Membership.Members.end() ||
       Found->second.Status == member_status::Up)
     return;
-  // One higher than the rumour, so that it wins everywhere.
+  // One higher than the suspicion, so that it wins everywhere.
   ++Found->second.Counter;
-  change(Membership, Name, Found->second, member_status::Up,
-         /*IsHearsay=*/false, Now);
+  setStatus(Membership, Name, Found->second, member_status::Up,
+            /*IsUnconfirmed=*/false, Now);
 }
 
 messages handleMembershipMessage(membership &Membership,
                                  const std::string &From,
                                  const membership_message &Message,
                                  instant Now) {
-  for (const member_belief &Belief : Message.Beliefs)
-    hearBelief(Membership, Belief, Now);
+  for (const member_update &Update : Message.Beliefs)
+    applyUpdate(Membership, Update, Now);
   switch (Message.Kind) {
   case kind::Ping:
-    heardFrom(Membership, From, Now);
-    // A daemon that shows no life isn't answered for.
+    recordResponse(Membership, From, Now);
+    // Doesn't respond for a daemon that shows no sign of life.
     if (!Membership.Own.contains(Message.Subject))
       return {};
-    return {
-        make(Membership, From, kind::Ack, Message.Subject, Message.OnBehalfOf)};
+    return {makeMessage(Membership, From, kind::Ack, Message.Subject,
+                        Message.OnBehalfOf)};
   case kind::PingFor:
-    return {
-        make(Membership, Message.Subject, kind::Ping, Message.Subject, From)};
+    return {makeMessage(Membership, Message.Subject, kind::Ping,
+                        Message.Subject, From)};
   case kind::Ack:
-    heardFrom(Membership, Message.Subject, Now);
+    recordResponse(Membership, Message.Subject, Now);
     if (Membership.Probe.Subject == Message.Subject)
       Membership.Probe = {};
     if (Message.OnBehalfOf.empty() ||
         Membership.Own.contains(Message.OnBehalfOf))
       return {};
-    return {make(Membership, Message.OnBehalfOf, kind::Ack, Message.Subject,
-                 Message.OnBehalfOf)};
+    return {makeMessage(Membership, Message.OnBehalfOf, kind::Ack,
+                        Message.Subject, Message.OnBehalfOf)};
   }
   return {};
 }
 
-static std::string nextSubject(membership &Membership) {
+static std::string nextProbeSubject(membership &Membership) {
   if (Membership.Round.empty()) {
     for (const auto &[Name, Member] : Membership.Members)
       Membership.Round.push_back(Name);
@@ -220,118 +225,123 @@
   return Membership.Members.contains(Subject) ? Subject : std::string();
 }
 
-/// A few random members that are up, found by starting at random places.
+/// Returns a few random members that are up, found by starting at random
+/// positions.
 static std::vector<std::string> pickHelpers(membership &Membership) {
   std::vector<std::string> Helpers;
   const std::size_t Size = Membership.Members.size();
   if (Size == 0)
     return Helpers;
-  const std::size_t Tries = 4 * Membership.Policy.IndirectProbes;
-  for (std::size_t Try = 0;
-       Try < Tries && Helpers.size() < Membership.Policy.IndirectProbes;
-       ++Try) {
+  const std::size_t MaxAttempts = 4 * Membership.Policy.IndirectProbes;
+  for (std::size_t Attempt = 0;
+       Attempt < MaxAttempts &&
+       Helpers.size() < Membership.Policy.IndirectProbes;
+       ++Attempt) {
     auto Member = Membership.Members.begin();
     std::advance(Member, static_cast<long>(Membership.Random() % Size));
-    const bool Usable = Member->second.Status == member_status::Up &&
-                        Member->first != Membership.Probe.Subject;
-    if (Usable && std::find(Helpers.begin(), Helpers.end(), Member->first) ==
-                      Helpers.end())
+    const bool IsUsable = Member->second.Status == member_status::Up &&
+                          Member->first != Membership.Probe.Subject;
+    if (IsUsable && std::find(Helpers.begin(), Helpers.end(), Member->first) ==
+                        Helpers.end())
       Helpers.push_back(Member->first);
   }
   return Helpers;
 }
 
-static void probeThroughOthers(membership &Membership, messages &Messages) {
+static void sendIndirectProbes(membership &Membership, messages &Messages) {
   for (const std::string &Helper : pickHelpers(Membership))
-    Messages.push_back(
-        make(Membership, Helper, kind::PingFor, Membership.Probe.Subject, {}));
+    Messages.push_back(makeMessage(Membership, Helper, kind::PingFor,
+                                   Membership.Probe.Subject, {}));
 }
 
-static void escalate(membership &Membership, instant Now, messages &Messages) {
-  running_probe &Probe = Membership.Probe;
+static void escalateProbe(membership &Membership, instant Now,
+                          messages &Messages) {
+  active_probe &Probe = Membership.Probe;
   if (Probe.Subject.empty() || Now < Probe.Sent + Membership.Policy.AckTimeout)
     return;
   if (!Probe.Indirect) {
     Probe.Indirect = true;
     Probe.Sent = Now;
-    probeThroughOthers(Membership, Messages);
+    sendIndirectProbes(Membership, Messages);
     return;
   }
   auto Found = Membership.Members.find(Probe.Subject);
   if (Found != Membership.Members.end() &&
       Found->second.Status == member_status::Up)
-    change(Membership, Probe.Subject, Found->second, member_status::Suspect,
-           /*IsHearsay=*/false, Now);
+    setStatus(Membership, Probe.Subject, Found->second, member_status::Suspect,
+              /*IsUnconfirmed=*/false, Now);
   Probe = {};
 }
 
-static void timeOutSuspects(membership &Membership, instant Now) {
-  for (const std::string &Name : std::set<std::string>(Membership.Changing)) {
+static void expireSuspicions(membership &Membership, instant Now) {
+  for (const std::string &Name : std::set<std::string>(Membership.Pending)) {
     auto Member = Membership.Members.find(Name);
     if (Member != Membership.Members.end() &&
         Member->second.Status == member_status::Suspect &&
-        Now >= Member->second.SuspectSince + Membership.Policy.SuspectTime)
-      change(Membership, Name, Member->second, member_status::Down,
-             /*IsHearsay=*/false, Now);
+        Now >= Member->second.SuspectSince + Membership.Policy.SuspicionTimeout)
+      setStatus(Membership, Name, Member->second, member_status::Down,
+                /*IsUnconfirmed=*/false, Now);
   }
 }
 
-/// Probes a member that is suspected, and tells it so: it refutes the suspicion
-/// with a higher counter, which then spreads as the suspicion did.
-static outgoing_membership_message recheck(const membership &Membership,
-                                           const std::string &Name) {
+/// Probes a suspected member and includes the suspicion: the member refutes it
+/// with a higher incarnation, which then spreads as the suspicion did.
+static outgoing_membership_message makeRecheck(const membership &Membership,
+                                               const std::string &Name) {
   const member_state &Member = Membership.Members.at(Name);
-  // Nothing else: whoever is dead would take beliefs away from the living.
+  // Carries no other updates: each update is sent a limited number of times,
+  // and a dead member would use up those transmissions.
   return {Name,
           {kind::Ping, Name, {}, {{Name, Member.Status, Member.Counter}}}};
 }
 
-static void recheckDoubted(membership &Membership, instant Now,
-                           messages &Messages) {
-  std::size_t Checks = 0;
-  for (auto &[Name, Doubt] : Membership.Doubted) {
-    if (Now >= Doubt.UsableUntil)
+static void recheckSuspected(membership &Membership, instant Now,
+                             messages &Messages) {
+  std::size_t Rechecks = 0;
+  for (auto &[Name, Suspicion] : Membership.Suspected) {
+    if (Now >= Suspicion.UsableUntil)
       Membership.NotUp.insert(Name);
-    if (Now < Doubt.NextCheck || Checks >= Membership.Policy.MostRechecks)
+    if (Now < Suspicion.NextRecheck ||
+        Rechecks >= Membership.Policy.MaxRechecksPerTick)
       continue;
-    ++Checks;
-    Doubt.NextCheck = Now + Membership.Policy.RecheckPeriod;
-    Messages.push_back(recheck(Membership, Name));
+    ++Rechecks;
+    Suspicion.NextRecheck = Now + Membership.Policy.RecheckPeriod;
+    Messages.push_back(makeRecheck(Membership, Name));
   }
 }
 
-/// Sends news to a few members at once. By the probes alone, two a second, it
-/// takes five seconds until all of 295 know of a death, and as long until all
-/// know that a suspicion was false.
-static void spreadNews(membership &Membership, messages &Messages) {
-  const bool HasNews =
-      std::any_of(Membership.Changing.begin(), Membership.Changing.end(),
+/// Sends pending updates to a few members at once. By the probes alone, two a
+/// second, it takes five seconds until all of 295 have the failure of a member,
+/// and as long until all have its refutation.
+static void gossipUpdates(membership &Membership, messages &Messages) {
+  const bool HasUpdates =
+      std::any_of(Membership.Pending.begin(), Membership.Pending.end(),
                   [&](const std::string &Name) {
                     auto Member = Membership.Members.find(Name);
                     return Member != Membership.Members.end() &&
-                           Member->second.RepeatsLeft > 0;
+                           Member->second.TransmissionsLeft > 0;
                   });
-  if (!HasNews)
+  if (!HasUpdates)
     return;
-  // A probe of nobody wants no answer.
+  // A probe with an empty subject requires no ack.
   for (const std::string &To : pickHelpers(Membership))
-    Messages.push_back(make(Membership, To, kind::Ping, {}, {}));
+    Messages.push_back(makeMessage(Membership, To, kind::Ping, {}, {}));
 }
 
 messages membershipTick(membership &Membership, instant Now) {
   messages Messages;
-  timeOutSuspects(Membership, Now);
-  recheckDoubted(Membership, Now, Messages);
-  spreadNews(Membership, Messages);
-  escalate(Membership, Now, Messages);
+  expireSuspicions(Membership, Now);
+  recheckSuspected(Membership, Now, Messages);
+  gossipUpdates(Membership, Messages);
+  escalateProbe(Membership, Now, Messages);
   if (Now < Membership.NextProbe || !Membership.Probe.Subject.empty())
     return Messages;
   Membership.NextProbe = Now + Membership.Policy.ProbePeriod;
-  const std::string Subject = nextSubject(Membership);
+  const std::string Subject = nextProbeSubject(Membership);
   if (Subject.empty())
     return Messages;
   Membership.Probe = {Subject, Now, false};
-  Messages.push_back(make(Membership, Subject, kind::Ping, Subject, {}));
+  Messages.push_back(makeMessage(Membership, Subject, kind::Ping, Subject, {}));
   return Messages;
 }
 
--- a/Libraries/PeerMessages/peer_messages.cpp
+++ b/Libraries/PeerMessages/peer_messages.cpp
@@ -56,7 +56,7 @@
   auto Beliefs =
       Root.initBeliefs(static_cast<unsigned>(Datagram.Message.Beliefs.size()));
   for (unsigned Index = 0; Index < Beliefs.size(); ++Index) {
-    const member_belief &Belief = Datagram.Message.Beliefs[Index];
+    const member_update &Belief = Datagram.Message.Beliefs[Index];
     Beliefs[Index].setName(Belief.Name);
     Beliefs[Index].setStatus(static_cast<std::uint8_t>(Belief.Status));
     Beliefs[Index].setCounter(Belief.Counter);
