--- a/Libraries/ObjectCache/object_cache.cpp
+++ b/Libraries/ObjectCache/object_cache.cpp
@@ -2,30 +2,31 @@
 
 namespace amaranthhoist {
 
-/// Traces of removed objects kept per kind: a day's replacements in a fleet of
-/// hundreds, at some ten bytes each. An instance that asks for older ones gets
-/// the whole list.
-static constexpr std::size_t MostRemoved = 2'000;
+/// Tombstones of removed objects kept per kind: a day's replacements in a fleet
+/// of hundreds, at some ten bytes each. An instance that requests changes since
+/// an older revision gets the full list.
+static constexpr std::size_t MaxTombstones = 2'000;
 
-static void forgetRemoved(object_cache::kind_state &Kind) {
-  if (Kind.Removed <= MostRemoved)
+static void pruneTombstones(object_cache::kind_state &Kind) {
+  if (Kind.Tombstones <= MaxTombstones)
     return;
   absl::erase_if(Kind.Entries,
                  [](const auto &Entry) { return Entry.second.IsDeleted; });
-  Kind.Removed = 0;
-  Kind.ForgottenUpTo = Kind.AtRevision;
+  Kind.Tombstones = 0;
+  Kind.PrunedUpTo = Kind.AtRevision;
 }
 
-static void put(object_cache::kind_state &Kind, const object_change &Change) {
+static void applyChange(object_cache::kind_state &Kind,
+                        const object_change &Change) {
   object_cache::entry &Entry = Kind.Entries[Change.Name];
   if (Change.IsDeleted && !Entry.IsDeleted)
-    ++Kind.Removed;
+    ++Kind.Tombstones;
   if (!Change.IsDeleted && Entry.IsDeleted)
-    --Kind.Removed;
+    --Kind.Tombstones;
   Entry = {Change.Text, Change.Revision, Change.IsDeleted};
 }
 
-/// Adds the removal of everything that a full list doesn't have.
+/// Adds the removal of each held object that is missing from a full list.
 static void addRemovals(const object_cache::kind_state &Kind,
                         kind_changes &Changes) {
   text_set Present;
@@ -48,11 +49,11 @@
   for (object_change &Change : Changes.Changes) {
     if (Change.IsDeleted)
       Change.Revision = Changes.AtRevision;
-    put(Kind, Change);
+    applyChange(Kind, Change);
   }
   Kind.AtRevision = Changes.AtRevision;
   Kind.HasState = true;
-  forgetRemoved(Kind);
+  pruneTombstones(Kind);
   return true;
 }
 
@@ -68,7 +69,7 @@
   kind_changes Changes;
   Changes.Kind = Name;
   Changes.AtRevision = Kind.AtRevision;
-  Changes.IsFull = Since == 0 || Since < Kind.ForgottenUpTo;
+  Changes.IsFull = Since == 0 || Since < Kind.PrunedUpTo;
   for (const auto &[ObjectName, Entry] : Kind.Entries) {
     const bool IsWanted =
         Changes.IsFull ? !Entry.IsDeleted : Entry.Revision > Since;
@@ -81,14 +82,14 @@
 
 cache_changes changesSince(const object_cache &Cache,
                            const known_revisions &Known) {
-  cache_changes Answer;
+  cache_changes Result;
   for (std::size_t Index = 0; Index < ObjectKinds; ++Index) {
     const auto &Kind = Cache.Kinds[Index];
     if (Kind.HasState && Kind.AtRevision > Known[Index])
-      Answer.Kinds.push_back(
+      Result.Kinds.push_back(
           changesOf(Kind, static_cast<object_kind>(Index), Known[Index]));
   }
-  return Answer;
+  return Result;
 }
 
 } // namespace amaranthhoist
--- a/Libraries/ObjectCache/object_cache.h
+++ b/Libraries/ObjectCache/object_cache.h
@@ -1,7 +1,7 @@
-/// The store's objects as this instance knows them, as text, so that it can
-/// hand them on to instances that don't ask the store themselves. What changed
-/// is found by the store's own revisions, so that an instance may ask one peer
-/// now and another one next. Sans-I/O.
+/// This instance's copy of the store's objects, as text, from which it serves
+/// instances that don't query the store themselves. Changes are determined by
+/// the store's own revisions, so that an instance may poll a different peer
+/// each time. Sans-I/O.
 #pragma once
 
 #include "Core/core.h"
@@ -25,36 +25,38 @@
 };
 inline constexpr std::size_t ObjectKinds = 4;
 
-/// One object that changed or was removed.
+/// One object that was changed or removed.
 struct object_change {
   std::string Name;
   bool IsDeleted = false;
-  /// Of its last change at the store. Of a removed one, a revision that its
-  /// removal doesn't lie behind.
+  /// Revision of its last change in the store. For a removed object, a revision
+  /// at or after its removal.
   std::uint64_t Revision = 0;
-  /// The object as the store wrote it; empty when removed.
+  /// The object as stored; empty when removed.
   std::string Text;
 };
 
 /// Changes of one kind.
 struct kind_changes {
   object_kind Kind = object_kind::Configuration;
-  /// Revision of the store that the state after these changes shows.
+  /// Revision of the store that the state after these changes corresponds to.
   std::uint64_t AtRevision = 0;
-  /// Whether these are all objects of the kind, and others are gone.
+  /// Whether these are all objects of the kind. If so, all others are removed.
   bool IsFull = false;
   std::vector<object_change> Changes;
 };
 
-/// What one instance tells another.
+/// Changes that one instance sends to another.
 struct cache_changes {
-  /// Time since the teller, or whoever told it, heard from the store.
+  /// Time since the sender, or its own source, last had a response from the
+  /// store.
   duration Age{};
-  /// Whether servers missing from the list are gone, as far as it knows.
+  /// Whether the target list is complete, as far as the sender can tell:
+  /// servers missing from it are removed.
   bool ListIsSure = true;
   std::vector<kind_changes> Kinds;
-  /// Control addresses, `ip:port`, of instances that can be asked instead of a
-  /// teller that has no whole lists to give now.
+  /// Control addresses, `ip:port`, of instances to query instead while the
+  /// sender serves no full snapshots.
   std::vector<std::string> Sources;
 };
 
@@ -67,27 +69,28 @@
   struct kind_state {
     text_map<entry> Entries;
     std::uint64_t AtRevision = 0;
-    /// Removed objects whose trace was dropped had revisions up to this.
-    std::uint64_t ForgottenUpTo = 0;
-    std::size_t Removed = 0;
-    /// Whether it was whole once.
+    /// Upper bound of the revisions of the tombstones that were dropped.
+    std::uint64_t PrunedUpTo = 0;
+    std::size_t Tombstones = 0;
+    /// Whether it has held the full state at least once.
     bool HasState = false;
   };
   std::array<kind_state, ObjectKinds> Kinds;
 };
 
-/// Takes in changes from the store or another instance. What would be a step
-/// back in the store's revisions is left out: false then. \p Changes gains the
+/// Applies changes from the store or another instance. Returns false and
+/// applies nothing if they would go back to an older revision of the store, or
+/// if they are incremental and there is no full state yet. \p Changes gains the
 /// removals that a full list implies.
 bool takeChanges(object_cache &Cache, kind_changes &Changes);
 
-/// Revisions of the store that a state shows, by kind; 0: none yet.
+/// Revisions of the store that a state corresponds to, by kind; 0: none yet.
 using known_revisions = std::array<std::uint64_t, ObjectKinds>;
 
 known_revisions knownRevisions(const object_cache &Cache);
 
-/// What an instance lacks that knows \p Known. Kinds in which it lacks nothing
-/// are left out.
+/// Returns the changes that an instance at \p Known lacks. Kinds that are up to
+/// date are left out.
 cache_changes changesSince(const object_cache &Cache,
                            const known_revisions &Known);
 
