--- a/Libraries/StoreClient/list_watch.cpp
+++ b/Libraries/StoreClient/list_watch.cpp
@@ -11,14 +11,14 @@
 }
 
 std::vector<stored_object> *takePage(list_watch &Watch, list_page Page) {
-  Watch.FailuresInARow = 0;
+  Watch.ConsecutiveFailures = 0;
   if (Watch.After.empty()) {
     Watch.Pages.clear();
-    Watch.LeastRevision = Page.AtRevision;
+    Watch.MinRevision = Page.AtRevision;
   }
-  // Pages may show different revisions: watching from the least one misses
-  // nothing, and applying a change twice does no harm.
-  Watch.LeastRevision = std::min(Watch.LeastRevision, Page.AtRevision);
+  // Pages may correspond to different revisions: watching from the lowest one
+  // misses no change, and applying a change twice is harmless.
+  Watch.MinRevision = std::min(Watch.MinRevision, Page.AtRevision);
   std::move(Page.Items.begin(), Page.Items.end(),
             std::back_inserter(Watch.Pages));
   if (Page.HasMore && !Watch.Pages.empty()) {
@@ -27,15 +27,15 @@
   }
   Watch.After.clear();
   Watch.Next = store_verb::Watch;
-  Watch.Revision = Watch.LeastRevision;
+  Watch.Revision = Watch.MinRevision;
   Watch.MayBeStale = false;
   return &Watch.Pages;
 }
 
 duration takeBatch(list_watch &Watch, const change_batch &Batch) {
-  Watch.FailuresInARow = 0;
+  Watch.ConsecutiveFailures = 0;
   Watch.Revision = std::max(Watch.Revision, Batch.AtRevision);
-  return Batch.Changes.empty() ? duration::zero() : Watch.Pace.AfterChanges;
+  return Batch.Changes.empty() ? duration::zero() : Watch.Delays.AfterChanges;
 }
 
 void listAnew(list_watch &Watch) {
@@ -51,12 +51,12 @@
   }
   if (Failure == store_failure::Silent)
     listAnew(Watch);
-  // Enough doublings to reach the longest wait from the first one.
-  constexpr int MostDoublings = 8;
-  const int Doublings = std::min(Watch.FailuresInARow, MostDoublings);
-  ++Watch.FailuresInARow;
-  return std::min(Watch.Pace.FirstRetry * (1 << Doublings),
-                  Watch.Pace.LongestRetry);
+  // Enough doublings to reach the longest delay from the first one.
+  constexpr int MaxDoublings = 8;
+  const int Doublings = std::min(Watch.ConsecutiveFailures, MaxDoublings);
+  ++Watch.ConsecutiveFailures;
+  return std::min(Watch.Delays.InitialRetryDelay * (1 << Doublings),
+                  Watch.Delays.MaxRetryDelay);
 }
 
 } // namespace amaranthhoist
--- a/Tests/store_test.cpp
+++ b/Tests/store_test.cpp
@@ -1,5 +1,5 @@
-// Following the platform's store: lists in pages, watches, lost history, and
-// what instances hand on to each other.
+// Tests following the platform's store (paged lists, watches, expired history)
+// and the changes that instances send to each other.
 
 #include "ObjectCache/object_cache.h"
 #include "PeerMessages/peer_messages.h"
@@ -22,7 +22,7 @@
   return {object_kind::Target, At, IsFull, std::move(List)};
 }
 
-std::size_t live(const object_cache &Cache) {
+std::size_t countLive(const object_cache &Cache) {
   std::size_t Count = 0;
   for (const auto &[Name, Entry] :
        Cache.Kinds[static_cast<std::size_t>(object_kind::Target)].Entries)
@@ -36,7 +36,7 @@
 TEST_GROUP(Store) {};
 // clang-format on
 
-TEST(Store, AListInPagesIsWatchedFromItsFirstPage) {
+TEST(Store, WatchStartsAtRevisionOfFirstPage) {
   list_watch Watch;
   POINTERS_EQUAL(nullptr,
                  takePage(Watch, {{{"a", 3, "{}"}}, /*HasMore=*/true, 10}));
@@ -47,18 +47,19 @@
   LONGS_EQUAL(10, nextRequest(Watch).Revision);
 }
 
-TEST(Store, LostHistoryMeansANewList) {
+TEST(Store, ExpiredHistoryCausesList) {
   list_watch Watch;
   takePage(Watch, {{}, false, 10});
   CHECK(takeFailure(Watch, store_failure::HistoryGone) == duration::zero());
   CHECK(nextRequest(Watch).Verb == store_verb::List);
 }
 
-// Symptom: a route is refused 5 s after it was accepted. Sequence: watches hear
-// nothing while a configuration is accepted, and the history is dropped; one
-// that ended just before is made anew from its old revision and waits in vain.
-// Cause: going on from a revision after a silence.
-TEST(Store, ASilenceIsFollowedByAList) {
+// Guards against a route that is refused 5 s after it was accepted. Watches get
+// no response while a configuration is accepted, and the history is dropped; a
+// watch that ended just before is restarted at its old revision and waits in
+// vain. After a watch without a response the client must list instead of
+// resuming from the revision.
+TEST(Store, MissingResponseCausesList) {
   list_watch Watch;
   takePage(Watch, {{}, false, 10});
   takeFailure(Watch, store_failure::Silent);
@@ -68,32 +69,31 @@
   CHECK(nextRequest(Watch).Verb == store_verb::Watch);
 }
 
-TEST(Store, FailuresAreRetriedMoreAndMoreSlowly) {
+TEST(Store, RetriesBackOffExponentially) {
   list_watch Watch;
   const duration First = takeFailure(Watch, store_failure::Silent);
   duration Last = First;
   for (int Failure = 0; Failure < 20; ++Failure)
     Last = takeFailure(Watch, store_failure::Refused);
-  CHECK(First == Watch.Pace.FirstRetry);
-  CHECK(Last == Watch.Pace.LongestRetry);
+  CHECK(First == Watch.Delays.InitialRetryDelay);
+  CHECK(Last == Watch.Delays.MaxRetryDelay);
   CHECK(takeBatch(Watch, {}) == duration::zero());
   CHECK(takeFailure(Watch, store_failure::Silent) == First);
 }
 
-// Symptom: a server that was removed is used again. Sequence: a node learns of
-// the removal, then asks a peer that lags behind. Cause: taking over a state
-// that is older than one's own.
-TEST(Store, AnOlderStateIsLeftOut) {
+// Guards against the use of a server that was removed: a node gets the removal,
+// then polls a lagging peer and must not apply that peer's older state.
+TEST(Store, OlderStateIsIgnored) {
   object_cache Cache;
   kind_changes New = changes(20, true, {makeChange("a", 3)});
   CHECK(takeChanges(Cache, New));
   kind_changes Old =
       changes(15, true, {makeChange("a", 3), makeChange("b", 4)});
   CHECK_FALSE(takeChanges(Cache, Old));
-  LONGS_EQUAL(1, live(Cache));
+  LONGS_EQUAL(1, countLive(Cache));
 }
 
-TEST(Store, AWholeListTellsWhatIsGone) {
+TEST(Store, FullListImpliesRemovals) {
   object_cache Cache;
   kind_changes First =
       changes(5, true, {makeChange("a", 3), makeChange("b", 4)});
@@ -102,13 +102,14 @@
   CHECK(takeChanges(Cache, Second));
   LONGS_EQUAL(2, Second.Changes.size());
   CHECK(Second.Changes[1].IsDeleted);
-  LONGS_EQUAL(1, live(Cache));
+  LONGS_EQUAL(1, countLive(Cache));
 }
 
-// Symptom: links of small instances are full of whole lists. Sequence: an
-// instance turns from one source to another. Cause: changes numbered by each
-// source for itself, so that another one has to send everything.
-TEST(Store, AnyInstanceCanTellWhatAnotherLacks) {
+// Guards against small instances' links saturated by full lists. Changes are
+// numbered by the store's revisions, so that a new source can continue where
+// the previous one ended; if each source numbered changes itself, a new one
+// would have to send the full list.
+TEST(Store, AnyPeerCanServeMissingChanges) {
   std::mt19937_64 Random(5);
   object_cache One;
   object_cache Two;
@@ -131,51 +132,51 @@
     if (Step % 7 != 0)
       continue;
     const object_cache &Source = Random() % 2 == 0 ? One : Two;
-    cache_changes Lacking = changesSince(Source, knownRevisions(Reader));
-    for (kind_changes &Kind : Lacking.Kinds) {
+    cache_changes Missing = changesSince(Source, knownRevisions(Reader));
+    for (kind_changes &Kind : Missing.Kinds) {
       CHECK_FALSE(Kind.IsFull);
       CHECK(Kind.Changes.size() <= 7);
       takeChanges(Reader, Kind);
     }
-    LONGS_EQUAL(live(Source), live(Reader));
+    LONGS_EQUAL(countLive(Source), countLive(Reader));
   }
 }
 
-TEST(Store, WhoKnowsEverythingGetsNothing) {
+TEST(Store, UpToDateInstanceGetsNoChanges) {
   object_cache Cache;
   kind_changes First = changes(5, true, {makeChange("a", 3)});
   takeChanges(Cache, First);
   LONGS_EQUAL(0, changesSince(Cache, knownRevisions(Cache)).Kinds.size());
 }
 
-TEST(Store, ChangesSurviveTheWayToAPeer) {
-  cache_changes Sent;
-  Sent.Age = std::chrono::milliseconds(120);
-  Sent.ListIsSure = false;
-  Sent.Kinds.push_back(
+TEST(Store, ChangesAreEncodedAndDecoded) {
+  cache_changes Original;
+  Original.Age = std::chrono::milliseconds(120);
+  Original.ListIsSure = false;
+  Original.Kinds.push_back(
       changes(7, true, {makeChange("a", 3), makeChange("b", 7, true)}));
-  const auto Got = decodeChanges(encodeChanges(Sent));
-  CHECK(Got.has_value());
-  CHECK(Got->Age == Sent.Age);
-  CHECK_FALSE(Got->ListIsSure);
-  LONGS_EQUAL(1, Got->Kinds.size());
-  LONGS_EQUAL(7, Got->Kinds[0].AtRevision);
-  CHECK(Got->Kinds[0].Changes[1].IsDeleted);
-  LONGS_EQUAL(3, Got->Kinds[0].Changes[0].Revision);
+  const auto Decoded = decodeChanges(encodeChanges(Original));
+  CHECK(Decoded.has_value());
+  CHECK(Decoded->Age == Original.Age);
+  CHECK_FALSE(Decoded->ListIsSure);
+  LONGS_EQUAL(1, Decoded->Kinds.size());
+  LONGS_EQUAL(7, Decoded->Kinds[0].AtRevision);
+  CHECK(Decoded->Kinds[0].Changes[1].IsDeleted);
+  LONGS_EQUAL(3, Decoded->Kinds[0].Changes[0].Revision);
 }
 
-TEST(Store, BytesThatAreNoMessageAreToldApart) {
+TEST(Store, MalformedMessagesDontCrash) {
   std::mt19937_64 Random(11);
   peer_datagram Datagram;
   Datagram.Sender = "node-1";
   Datagram.Message.Subject = "node-2";
   Datagram.Message.Beliefs.push_back({"node-3", member_status::Suspect, 4});
-  const std::string Sound = encodeDatagram(Datagram);
-  const auto Got = decodeDatagram(Sound);
-  CHECK(Got.has_value());
-  CHECK_EQUAL(std::string("node-3"), Got->Message.Beliefs[0].Name);
+  const std::string Valid = encodeDatagram(Datagram);
+  const auto Decoded = decodeDatagram(Valid);
+  CHECK(Decoded.has_value());
+  CHECK_EQUAL(std::string("node-3"), Decoded->Message.Beliefs[0].Name);
   for (int Round = 0; Round < 5'000; ++Round) {
-    std::string Bytes = Sound;
+    std::string Bytes = Valid;
     for (int Change = 0; Change < 3; ++Change)
       Bytes[Random() % Bytes.size()] = static_cast<char>(Random());
     Bytes.resize(Random() % (Bytes.size() + 1));
