--- a/Libraries/PeerMessages/peer_messages.capnp
+++ b/Libraries/PeerMessages/peer_messages.capnp
@@ -1,5 +1,6 @@
 @0xb8a1f0c2d94e6a37;
-# Datagrams between the nodes of a fleet, and the state that they hand on.
+# Datagrams between the nodes of a fleet, and the state of the store that they
+# serve to each other.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("amaranthhoist::datagram");
@@ -49,10 +50,10 @@
 struct CacheChanges {
   ageUs @0 :Int64;
   listIsSure @1 :Bool;
-  # A KindList, apart from the rest so that one copy serves many askers.
+  # A KindList, encoded separately so that one copy serves many requesters.
   kinds @2 :Data;
-  # Bytes of the KindList before it was compressed; 0: it isn't.
+  # Size of the KindList in bytes before compression; 0: not compressed.
   plainBytes @3 :UInt32;
-  # Other instances that can be asked instead.
+  # Other instances to query instead.
   sources @4 :List(Text);
 }
--- a/Libraries/PeerMessages/peer_messages.cpp
+++ b/Libraries/PeerMessages/peer_messages.cpp
@@ -10,18 +10,19 @@
 
 namespace amaranthhoist {
 
-/// Words that a message may make the reader look at: many times what a sound
-/// one of its size needs, and little work for one made to be costly.
-static constexpr std::uint64_t LeastReadLimit = 65'536;
+/// Bounds the words that the reader traverses for one message: many times what
+/// a valid message of its size needs, and little work for one crafted to be
+/// expensive.
+static constexpr std::uint64_t MinReadLimitWords = 65'536;
 static constexpr std::uint64_t ReadLimitPerWord = 8;
-/// Shorter kinds aren't worth compressing: a few objects that changed.
-static constexpr std::size_t LeastCompressed = 2'048;
-/// Fastest level: 4 ms for 378 KB; the best one saves a fifth of the bytes more
-/// and takes five times as long.
+/// Smaller encoded changes, a few objects, are not worth compressing.
+static constexpr std::size_t MinCompressedBytes = 2'048;
+/// Fastest level: 4 ms for 378 KB; the best level saves a fifth of the bytes
+/// more and takes five times as long.
 static constexpr int CompressionLevel = 1;
-/// Whole lists at the largest fleet in view (7,000 servers of 350 bytes) take a
-/// tenth of this. A peer that says more is not believed.
-static constexpr std::size_t MostPlainBytes = 32U << 20U;
+/// A full snapshot of the largest planned fleet (7,000 servers of 350 bytes)
+/// takes a tenth of this. A message that states a larger size is rejected.
+static constexpr std::size_t MaxPlainBytes = 32U << 20U;
 
 static std::string toBytes(capnp::MessageBuilder &Builder) {
   const kj::Array<capnp::word> Words = capnp::messageToFlatArray(Builder);
@@ -40,8 +41,8 @@
     Crashes[Index].setIsForAll(Report.IsForAll);
     auto Servers = Crashes[Index].initServers(
         static_cast<unsigned>(Report.Servers.size()));
-    for (unsigned At = 0; At < Servers.size(); ++At)
-      Servers.set(At, Report.Servers[At]);
+    for (unsigned Position = 0; Position < Servers.size(); ++Position)
+      Servers.set(Position, Report.Servers[Position]);
   }
 }
 
@@ -56,10 +57,10 @@
   auto Beliefs =
       Root.initBeliefs(static_cast<unsigned>(Datagram.Message.Beliefs.size()));
   for (unsigned Index = 0; Index < Beliefs.size(); ++Index) {
-    const member_update &Belief = Datagram.Message.Beliefs[Index];
-    Beliefs[Index].setName(Belief.Name);
-    Beliefs[Index].setStatus(static_cast<std::uint8_t>(Belief.Status));
-    Beliefs[Index].setCounter(Belief.Counter);
+    const member_update &Update = Datagram.Message.Beliefs[Index];
+    Beliefs[Index].setName(Update.Name);
+    Beliefs[Index].setStatus(static_cast<std::uint8_t>(Update.Status));
+    Beliefs[Index].setCounter(Update.Counter);
   }
   writeCrashes(Root, Datagram.Crashes);
   return toBytes(Builder);
@@ -123,7 +124,7 @@
 
 namespace {
 
-/// A CacheChanges message, its kinds still packed.
+/// A CacheChanges message whose kinds are still packed.
 struct packed_changes {
   cache_changes Changes;
   packed_kinds Kinds;
@@ -143,20 +144,21 @@
   return Packed;
 }
 
-/// Reads a message of type \p Message; none when \p Bytes are no such.
+/// Reads a message of type \p Message; returns none when \p Bytes are not a
+/// valid one.
 template <typename Message>
 static auto decode(std::string_view Bytes)
     -> decltype(read(typename Message::Reader())) {
-  // Aligned as the library needs them.
+  // Copies the bytes to the alignment that the library requires.
   std::vector<std::uint64_t> Words(Bytes.size() / sizeof(capnp::word));
   if (Words.empty() || Words.size() * sizeof(capnp::word) != Bytes.size())
     return std::nullopt;
   std::memcpy(Words.data(), Bytes.data(), Bytes.size());
-  // The library throws on bytes that are no message; here that is an outcome.
+  // The library throws on malformed bytes; here that is an expected result.
   try {
     capnp::ReaderOptions Options;
     Options.traversalLimitInWords =
-        LeastReadLimit + ReadLimitPerWord * Words.size();
+        MinReadLimitWords + ReadLimitPerWord * Words.size();
     capnp::FlatArrayMessageReader Reader(
         kj::ArrayPtr<const capnp::word>(
             reinterpret_cast<const capnp::word *>(Words.data()), Words.size()),
@@ -182,11 +184,11 @@
     Kinds[Index].setIsFull(Kind.IsFull);
     auto List =
         Kinds[Index].initChanges(static_cast<unsigned>(Kind.Changes.size()));
-    for (unsigned At = 0; At < List.size(); ++At) {
-      List[At].setName(Kind.Changes[At].Name);
-      List[At].setIsDeleted(Kind.Changes[At].IsDeleted);
-      List[At].setRevision(Kind.Changes[At].Revision);
-      List[At].setText(Kind.Changes[At].Text);
+    for (unsigned Position = 0; Position < List.size(); ++Position) {
+      List[Position].setName(Kind.Changes[Position].Name);
+      List[Position].setIsDeleted(Kind.Changes[Position].IsDeleted);
+      List[Position].setRevision(Kind.Changes[Position].Revision);
+      List[Position].setText(Kind.Changes[Position].Text);
     }
   }
   return toBytes(Builder);
@@ -196,37 +198,37 @@
   if (Kinds.empty())
     return {};
   packed_kinds Packed{encodeKinds(Kinds), 0};
-  if (Packed.Bytes.size() < LeastCompressed)
+  if (Packed.Bytes.size() < MinCompressedBytes)
     return Packed;
   uLongf Size = compressBound(Packed.Bytes.size());
   std::string Compressed(Size, '\0');
-  const int Outcome =
+  const int Status =
       compress2(reinterpret_cast<Bytef *>(Compressed.data()), &Size,
                 reinterpret_cast<const Bytef *>(Packed.Bytes.data()),
                 Packed.Bytes.size(), CompressionLevel);
-  // Out of memory: the plain bytes do as well.
-  if (Outcome != Z_OK)
+  // Out of memory: sends the uncompressed bytes instead.
+  if (Status != Z_OK)
     return Packed;
   Compressed.resize(Size);
   return {std::move(Compressed), Packed.Bytes.size()};
 }
 
-/// None when \p Packed isn't what packKinds() makes.
+/// Returns none when \p Packed is not valid output of packKinds().
 static std::optional<std::vector<kind_changes>>
 unpackKinds(const packed_kinds &Packed) {
   if (Packed.Bytes.empty())
     return std::vector<kind_changes>();
   if (Packed.PlainSize == 0)
     return decode<datagram::KindList>(Packed.Bytes);
-  if (Packed.PlainSize > MostPlainBytes)
+  if (Packed.PlainSize > MaxPlainBytes)
     return std::nullopt;
   std::string Plain(Packed.PlainSize, '\0');
   uLongf Size = Plain.size();
-  const int Outcome =
+  const int Status =
       uncompress(reinterpret_cast<Bytef *>(Plain.data()), &Size,
                  reinterpret_cast<const Bytef *>(Packed.Bytes.data()),
                  Packed.Bytes.size());
-  if (Outcome != Z_OK || Size != Plain.size())
+  if (Status != Z_OK || Size != Plain.size())
     return std::nullopt;
   return decode<datagram::KindList>(Plain);
 }
