--- a/Libraries/Replica/replica.cpp
+++ b/Libraries/Replica/replica.cpp
@@ -21,21 +21,21 @@
 }
 
 void setReplicaPeers(replica &Replica, std::span<const replica_peer> Peers) {
-  Replica.Near.clear();
-  Replica.Far.clear();
+  Replica.SameRegion.clear();
+  Replica.OtherRegions.clear();
   for (const replica_peer &Peer : Peers)
-    (Peer.Region == Replica.Region ? Replica.Near : Replica.Far)
+    (Peer.Region == Replica.Region ? Replica.SameRegion : Replica.OtherRegions)
         .push_back(Peer);
 }
 
-/// Returns whether \p Item was newer than what was held.
+/// Returns whether \p Item was newer than the held one.
 static bool applyOne(replica &Replica, const item &Item) {
-  auto [Found, Fresh] = Replica.Items.try_emplace(Item.Key);
+  auto [Found, IsNew] = Replica.Items.try_emplace(Item.Key);
   item &Held = Found->second;
-  if (!Fresh && Item.Version <= Held.Version)
+  if (!IsNew && Item.Version <= Held.Version)
     return false;
   std::uint64_t &Hash = Replica.Hashes[bucketOf(Item.Key)];
-  if (!Fresh)
+  if (!IsNew)
     Hash ^= itemHash(Held.Key, Held.Version);
   Hash ^= itemHash(Item.Key, Item.Version);
   Held = Item;
@@ -45,29 +45,31 @@
 static void sampleInto(std::vector<std::string> &Names,
                        const std::vector<replica_peer> &Peers,
                        std::size_t Count, std::mt19937_64 &Random) {
-  std::vector<replica_peer> Chosen;
-  std::sample(Peers.begin(), Peers.end(), std::back_inserter(Chosen), Count,
+  std::vector<replica_peer> Sample;
+  std::sample(Peers.begin(), Peers.end(), std::back_inserter(Sample), Count,
               Random);
-  for (const replica_peer &Peer : Chosen)
+  for (const replica_peer &Peer : Sample)
     Names.push_back(Peer.Name);
 }
 
 /// Splits \p Items into messages of bounded size.
 static void sendItems(const replica &Replica, const std::string &To,
                       std::span<const item> Items, messages &Messages) {
-  const std::size_t Step = Replica.Policy.MaxItemsPerMessage;
-  for (std::size_t Begin = 0; Begin < Items.size(); Begin += Step) {
-    const auto Part =
-        Items.subspan(Begin, std::min(Step, Items.size() - Begin));
-    Messages.push_back({To, replica_items{{Part.begin(), Part.end()}}});
+  const std::size_t BatchSize = Replica.Policy.MaxItemsPerMessage;
+  for (std::size_t Begin = 0; Begin < Items.size(); Begin += BatchSize) {
+    const auto Batch =
+        Items.subspan(Begin, std::min(BatchSize, Items.size() - Begin));
+    Messages.push_back({To, replica_items{{Batch.begin(), Batch.end()}}});
   }
 }
 
-static void push(replica &Replica, std::span<const item> Items,
-                 const std::string &From, messages &Messages) {
+static void pushItems(replica &Replica, std::span<const item> Items,
+                      const std::string &From, messages &Messages) {
   std::vector<std::string> Names;
-  sampleInto(Names, Replica.Near, Replica.Policy.NearFanout, Replica.Random);
-  sampleInto(Names, Replica.Far, Replica.Policy.FarFanout, Replica.Random);
+  sampleInto(Names, Replica.SameRegion, Replica.Policy.SameRegionFanout,
+             Replica.Random);
+  sampleInto(Names, Replica.OtherRegions, Replica.Policy.OtherRegionsFanout,
+             Replica.Random);
   for (const std::string &Name : Names)
     if (Name != From)
       sendItems(Replica, Name, Items, Messages);
@@ -76,14 +78,14 @@
 static messages applyAndPush(replica &Replica, std::span<const item> Items,
                              const std::string &From,
                              std::vector<item> &Applied) {
-  std::vector<item> Fresh;
+  std::vector<item> NewItems;
   for (const item &Item : Items)
     if (applyOne(Replica, Item))
-      Fresh.push_back(Item);
+      NewItems.push_back(Item);
   messages Messages;
-  if (!Fresh.empty() && Fresh.size() <= Replica.Policy.MaxPushed)
-    push(Replica, Fresh, From, Messages);
-  Applied.insert(Applied.end(), Fresh.begin(), Fresh.end());
+  if (!NewItems.empty() && NewItems.size() <= Replica.Policy.MaxPushedItems)
+    pushItems(Replica, NewItems, From, Messages);
+  Applied.insert(Applied.end(), NewItems.begin(), NewItems.end());
   return Messages;
 }
 
@@ -126,21 +128,21 @@
     if (Their == Theirs.end() || Their->second < Item.Version)
       Newer.push_back(Item);
   }
-  replica_want Want;
+  replica_want Request;
   for (const auto &[Key, Version] : Theirs) {
     auto Held = Replica.Items.find(Key);
     if (Held == Replica.Items.end() || Held->second.Version < Version)
-      Want.Keys.push_back(Key);
+      Request.Keys.push_back(Key);
   }
   messages Messages;
   sendItems(Replica, From, Newer, Messages);
-  if (!Want.Keys.empty())
-    Messages.push_back({From, Want});
+  if (!Request.Keys.empty())
+    Messages.push_back({From, Request});
   return Messages;
 }
 
-static messages giveWanted(const replica &Replica, const std::string &From,
-                           const replica_want &Message) {
+static messages sendRequested(const replica &Replica, const std::string &From,
+                              const replica_want &Message) {
   std::vector<item> Items;
   for (const std::string &Key : Message.Keys) {
     auto Held = Replica.Items.find(Key);
@@ -176,7 +178,7 @@
     return compareKeys(Replica, From, Message);
   }
   messages operator()(const replica_want &Message) const {
-    return giveWanted(Replica, From, Message);
+    return sendRequested(Replica, From, Message);
   }
 };
 
@@ -189,11 +191,12 @@
 }
 
 messages replicaTick(replica &Replica) {
-  const bool GoFar =
-      Replica.Near.empty() ||
-      (!Replica.Far.empty() &&
+  const bool UseOtherRegions =
+      Replica.SameRegion.empty() ||
+      (!Replica.OtherRegions.empty() &&
        std::uniform_int_distribution<int>(0, 3)(Replica.Random) == 0);
-  const std::vector<replica_peer> &Peers = GoFar ? Replica.Far : Replica.Near;
+  const std::vector<replica_peer> &Peers =
+      UseOtherRegions ? Replica.OtherRegions : Replica.SameRegion;
   if (Peers.empty())
     return {};
   std::uniform_int_distribution<std::size_t> Draw(0, Peers.size() - 1);
