--- a/Tests/contract_spread_test.cpp
+++ b/Tests/contract_spread_test.cpp
@@ -1,6 +1,6 @@
-// Contracts: accepted means in force everywhere within 3 s and never reverting.
-// The real replica logic of many nodes on in-memory links, decided by the
-// checker.
+// Tests the guarantee for contracts: an accepted contract is in force on all
+// nodes within 3 s and never reverts. Runs the replica logic of many nodes on
+// in-memory links and checks the recorded history.
 
 #include "History/history.h"
 #include "fleet_loop.h"
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A fleet whose node 0 and 1 watch the platform, and its history.
+/// A fleet whose nodes 0 and 1 watch the platform, and its history.
 struct contract_run {
   explicit contract_run(std::uint64_t Seed, int LossPercent = 2)
       : Fleet(optionsOf(Seed, LossPercent)) {
@@ -39,7 +39,8 @@
     return {"contract/c", Version, Deleted, "v" + std::to_string(Version)};
   }
 
-  /// The platform accepts; the operator's command hands it to two controls.
+  /// The platform accepts a contract, and the operator's command sends it to
+  /// two controls.
   void accept(std::int64_t Version, bool Deleted = false) {
     History.Accepted.push_back({Fleet.now(), "contract/c", Version});
     Fleet.deliver(0, make(Version, Deleted));
@@ -65,7 +66,7 @@
 TEST_GROUP(ContractSpread) {};
 // clang-format on
 
-TEST(ContractSpread, IsInForceEverywhereDespiteLosses) {
+TEST(ContractSpread, IsInForceOnAllNodesDespiteLoss) {
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
     contract_run Run(Seed, 10);
     Run.accept(5);
@@ -73,10 +74,10 @@
   }
 }
 
-// Symptom: an old contract is back in force. Sequence: a watcher that lagged
-// delivers old versions, in any order, to other nodes after the new one spread.
-// Cause: a copy taken for news because it came last.
-TEST(ContractSpread, OldVersionsFromALaggingWatchChangeNothing) {
+// Guards against an old contract that takes effect again: after the new version
+// has spread, a lagging watcher delivers old versions to other nodes in any
+// order, and a copy is treated as new because it arrived last.
+TEST(ContractSpread, OldVersionsFromLaggingWatchAreIgnored) {
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
     contract_run Run(Seed);
     Run.accept(9);
@@ -89,10 +90,10 @@
   }
 }
 
-// Symptom: a replaced instance serves an old contract or none. Sequence: the
-// platform goes away right after it accepted; an instance is replaced and has
-// its peers alone to ask.
-TEST(ContractSpread, AReplacedInstanceGetsItFromPeersWhileThePlatformIsAway) {
+// Guards against a replaced instance that serves an old contract or none: the
+// platform becomes unreachable right after it accepted the contract, and the
+// instance can only sync from its peers.
+TEST(ContractSpread, ReplacedInstanceSyncsFromPeersDuringPlatformOutage) {
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
     contract_run Run(Seed);
     Run.accept(4);
@@ -106,9 +107,10 @@
   }
 }
 
-// Symptom: a deleted contract lives on, or its successor is taken for old.
-// Sequence: deleted, and made again before all nodes had heard of either.
-TEST(ContractSpread, DeletionAndReCreationEndInTheLast) {
+// Guards against a deleted contract that stays in force, or a successor that is
+// treated as old, when a contract is deleted and created again before either
+// change has reached all nodes.
+TEST(ContractSpread, LastVersionWinsAfterDeletionAndRecreation) {
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
     contract_run Run(Seed);
     Run.accept(2);
@@ -122,9 +124,9 @@
   }
 }
 
-// Symptom: regions differ after a cut. Sequence: one is cut off while changes
-// are made; both sides compare when it is back.
-TEST(ContractSpread, ARegionThatWasCutOffCatchesUp) {
+// Guards against regions that stay different after a partition: one is cut off
+// while changes are made, and both sides compare after it has healed.
+TEST(ContractSpread, PartitionedRegionCatchesUp) {
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
     contract_run Run(Seed);
     Run.Fleet.cutRegion(4);
@@ -132,14 +134,14 @@
       Run.Fleet.deliver(0, contract_run::make(Version));
     Run.Fleet.runFor(seconds(5));
     Run.Fleet.healRegion(4);
-    // From here on the promise counts for all nodes again.
+    // From here on the guarantee applies to all nodes again.
     Run.History.Accepted.push_back({Run.Fleet.now(), "contract/c", 40});
     Run.expectHolds();
   }
 }
 
-// The proof's own proof: with nothing handed on, the checker sees it.
-TEST(ContractSpread, WithoutSpreadingTheCheckerSeesIt) {
+// Checks the checker: without replication it reports violations.
+TEST(ContractSpread, CheckerDetectsMissingReplication) {
   contract_run Run(1, 100);
   Run.accept(5);
   Run.Fleet.runFor(seconds(8));
