--- a/Libraries/ClientMap/client_map.cpp
+++ b/Libraries/ClientMap/client_map.cpp
@@ -21,10 +21,10 @@
 
 static bool isOrdered(std::size_t Number,
                       std::span<const client_block> Blocks) {
-  for (std::size_t Place = 0; Place < Blocks.size(); ++Place) {
-    if (Blocks[Place].First >> ChunkShift != Number)
+  for (std::size_t Position = 0; Position < Blocks.size(); ++Position) {
+    if (Blocks[Position].First >> ChunkShift != Number)
       return false;
-    if (Place > 0 && Blocks[Place - 1].First >= Blocks[Place].First)
+    if (Position > 0 && Blocks[Position - 1].First >= Blocks[Position].First)
       return false;
   }
   return true;
@@ -34,7 +34,8 @@
                         std::int64_t Version,
                         std::span<const client_block> Blocks) {
   if (Number >= ClientChunks || !isOrdered(Number, Blocks))
-    return fail(error_code::Invalid, "client blocks out of order or chunk");
+    return fail(error_code::Invalid,
+                "client blocks are unsorted or outside the chunk");
   client_chunk &Chunk = Map.Chunks[Number];
   if (Version <= Chunk.Version)
     return false;
@@ -58,17 +59,18 @@
   if (Version <= Chunk.Version)
     return false;
   if (Chunk.Version != BaseVersion)
-    return fail(error_code::Conflict, "the chunk is at another version");
+    return fail(error_code::Conflict,
+                "chunk version differs from the base version");
   const auto Found =
       std::lower_bound(Chunk.Firsts.begin(), Chunk.Firsts.end(), Block.First);
-  const auto Place = Found - Chunk.Firsts.begin();
+  const auto Position = Found - Chunk.Firsts.begin();
   Chunk.Version = Version;
   if (Found != Chunk.Firsts.end() && *Found == Block.First) {
-    Chunk.Groups[static_cast<std::size_t>(Place)] = Block.Group;
+    Chunk.Groups[static_cast<std::size_t>(Position)] = Block.Group;
     return true;
   }
   Chunk.Firsts.insert(Found, Block.First);
-  Chunk.Groups.insert(Chunk.Groups.begin() + Place, Block.Group);
+  Chunk.Groups.insert(Chunk.Groups.begin() + Position, Block.Group);
   rebuildIndex(Chunk, Number);
   return true;
 }
--- a/Libraries/ClientMap/client_map.h
+++ b/Libraries/ClientMap/client_map.h
@@ -1,9 +1,10 @@
-/// Mapping of client blocks (IPv4 prefixes of any length, flattened to ranges)
-/// to a site group: the list of sites in order of closeness.
+/// Maps client blocks (IPv4 prefixes of any length, flattened to ranges) to
+/// site groups: lists of sites ordered by proximity.
 ///
-/// Millions of blocks are held as sorted arrays, six bytes a block, behind an
-/// index on the first 16 bits of the address. Changes are kept in chunks by the
-/// first 12 bits, each with its own version, so that a change costs one chunk.
+/// Millions of blocks are held in sorted arrays, six bytes per block, with an
+/// index on the first 16 bits of the address. The map is split into chunks by
+/// the first 12 bits, each with its own version, so that a change affects only
+/// one chunk.
 #pragma once
 
 #include "Core/core.h"
@@ -16,7 +17,7 @@
 
 namespace amaranthhoist {
 
-/// From First to the next block's First, clients belong to Group.
+/// Addresses from First up to the next block's First belong to Group.
 struct client_block {
   std::uint32_t First = 0;
   std::uint16_t Group = 0;
@@ -27,8 +28,8 @@
 /// Group of addresses that no block covers.
 inline constexpr std::uint16_t NoGroup = 0xffff;
 
-/// Blocks of one chunk, sorted by address, starting at the chunk's first
-/// address; parallel arrays without padding.
+/// Blocks of one chunk, sorted by address and starting at the chunk's first
+/// address; parallel arrays avoid padding.
 struct client_chunk {
   std::int64_t Version = 0;
   std::vector<std::uint32_t> Firsts;
@@ -41,21 +42,22 @@
   std::vector<client_chunk> Chunks{ClientChunks};
 };
 
-/// Replaces chunk \p Number if \p Version is higher. Invalid when the blocks
-/// aren't sorted or lie outside the chunk.
+/// Replaces chunk \p Number if \p Version is higher. Returns Invalid if the
+/// blocks aren't sorted or lie outside the chunk.
 result<bool> applyChunk(client_map &Map, std::size_t Number,
                         std::int64_t Version,
                         std::span<const client_block> Blocks);
 
-/// Sets the group of one existing block, or cuts a new one at First. Conflict
-/// when the chunk is not at \p BaseVersion: the whole chunk is fetched then.
+/// Sets the group of an existing block, or splits off a new block at First.
+/// Returns Conflict if the chunk is not at \p BaseVersion: the caller then has
+/// to fetch the whole chunk.
 result<bool> applyBlockChange(client_map &Map, client_block Block,
                               std::int64_t BaseVersion, std::int64_t Version);
 
-/// The group of \p Address, or NoGroup.
+/// Returns the group of \p Address, or NoGroup.
 std::uint16_t lookUp(const client_map &Map, std::uint32_t Address);
 
-/// Blocks held, and bytes used by them and their index.
+/// Number of blocks held, and bytes used by them and their index.
 struct client_map_size {
   std::size_t Blocks = 0;
   std::size_t Bytes = 0;
