--- a/Libraries/Membership/membership.h
+++ b/Libraries/Membership/membership.h
@@ -32,8 +32,8 @@
 
 /// Status of one member, as sent in messages. To refute a suspicion, the
 /// control that responds for the member, or an instance that gets an ack from
-/// it, raises Counter, the incarnation. The higher incarnation wins, then the
-/// worse status.
+/// it, raises the incarnation. The higher incarnation wins, then the worse
+/// status.
 struct member_update {
   std::string Name;
   member_status Status = member_status::Up;
@@ -46,7 +46,8 @@
   kind Kind = kind::Ping;
   /// The member that is probed, or that an Ack is for.
   std::string Subject;
-  /// Ping: the member that requested an indirect probe; empty in a direct one.
+  /// The member that requested an indirect probe and gets its ack; empty in a
+  /// direct probe.
   std::string OnBehalfOf;
   std::vector<member_update> Beliefs;
 };
--- a/Tests/fleet_start.cpp
+++ b/Tests/fleet_start.cpp
@@ -316,7 +316,7 @@
     if (Instance.ReceivedAt)
       Times.push_back(*Instance.ReceivedAt - Instance.StartedAt);
   std::sort(Times.begin(), Times.end());
-  Outcome.Learned = Times.size();
+  Outcome.WithState = Times.size();
   if (!Times.empty())
     Outcome.After95 = Times[Times.size() * 95 / 100];
   return Outcome;
--- a/Tests/fleet_start.h
+++ b/Tests/fleet_start.h
@@ -43,7 +43,7 @@
 
 struct start_outcome {
   /// Instances that have the state at the end.
-  std::size_t Learned = 0;
+  std::size_t WithState = 0;
   /// Instances that listed the store.
   std::size_t StoreLists = 0;
   /// Time from an instance's start within which 95 of 100 instances got the
--- a/Tests/state_spread_test.cpp
+++ b/Tests/state_spread_test.cpp
@@ -41,7 +41,7 @@
     const fleet_size &Size = FleetSizes[Index];
     const start_outcome Outcome = startFleet(Size, Conditions);
     const std::size_t Dead = Conditions.SeedsAreDead ? 3 : 0;
-    UNSIGNED_LONGS_EQUAL(Size.Instances - Dead, Outcome.Learned);
+    UNSIGNED_LONGS_EQUAL(Size.Instances - Dead, Outcome.WithState);
     CHECK_COMPARE(Outcome.StoreLists, <=, Limits[Index].StoreLists);
     CHECK_COMPARE(Outcome.After95.count(), <=, Limits[Index].After95.count());
   }
@@ -254,7 +254,7 @@
   CHECK_FALSE(isOnDuty(Duty, {2, {}, {}, Long, true}, Start + seconds(2)));
 }
 
-// Guards against two watchers of a region of 98 instances that answer 245 polls
+// Guards against two watchers of a region of 98 instances that serve 245 polls
 // a second. No instance of a large region serves more than a bounded number of
 // others.
 TEST(StateSpread, FollowersPerInstanceAreBounded) {
