--- a/Libraries/StateSpread/learning.cpp
+++ b/Libraries/StateSpread/bootstrap.cpp
@@ -1,4 +1,4 @@
-#include "StateSpread/learning.h"
+#include "StateSpread/bootstrap.h"
 
 #include <algorithm>
 #include <cmath>
--- a/Libraries/StateSpread/hand_out.cpp
+++ b/Libraries/StateSpread/snapshot_throttle.cpp
@@ -1,4 +1,4 @@
-#include "StateSpread/hand_out.h"
+#include "StateSpread/snapshot_throttle.h"
 
 #include <algorithm>
 #include <map>
--- a/Libraries/StateSpread/store_duty.cpp
+++ b/Libraries/StateSpread/watch_duty.cpp
@@ -1,4 +1,4 @@
-#include "StateSpread/store_duty.h"
+#include "StateSpread/watch_duty.h"
 
 #include "StateSpread/spread_tree.h"
 
--- a/Services/Node/learner.h
+++ b/Services/Node/learner.h
@@ -1,7 +1,7 @@
 /// Gets the whole state from other instances after a start.
 #pragma once
 
-#include "StateSpread/learning.h"
+#include "StateSpread/bootstrap.h"
 #include "beliefs.h"
 #include "node.h"
 #include "store_caller.h"
--- a/Services/Node/relay_link.cpp
+++ b/Services/Node/relay_link.cpp
@@ -2,7 +2,7 @@
 
 #include "PeerMessages/peer_messages.h"
 #include "StateSpread/spread_tree.h"
-#include "StateSpread/store_duty.h"
+#include "StateSpread/watch_duty.h"
 #include "state_server.h"
 
 namespace amaranthhoist {
--- a/Services/Node/state_server.h
+++ b/Services/Node/state_server.h
@@ -4,7 +4,7 @@
 
 #include "HttpConnection/small_server.h"
 #include "PeerMessages/peer_messages.h"
-#include "StateSpread/hand_out.h"
+#include "StateSpread/snapshot_throttle.h"
 #include "beliefs.h"
 #include "node.h"
 
--- a/Services/Node/store_sync.h
+++ b/Services/Node/store_sync.h
@@ -4,7 +4,7 @@
 /// the store.
 #pragma once
 
-#include "StateSpread/store_duty.h"
+#include "StateSpread/watch_duty.h"
 #include "beliefs.h"
 #include "kind_follower.h"
 #include "learner.h"
--- a/Tests/fleet_start.cpp
+++ b/Tests/fleet_start.cpp
@@ -1,7 +1,7 @@
 #include "fleet_start.h"
 
-#include "StateSpread/hand_out.h"
-#include "StateSpread/learning.h"
+#include "StateSpread/bootstrap.h"
+#include "StateSpread/snapshot_throttle.h"
 
 #include <algorithm>
 #include <functional>
--- a/Tests/state_spread_test.cpp
+++ b/Tests/state_spread_test.cpp
@@ -3,10 +3,10 @@
 // in fleets of 9 to 1,900 instances.
 
 #include "PeerMessages/peer_messages.h"
-#include "StateSpread/hand_out.h"
-#include "StateSpread/learning.h"
+#include "StateSpread/bootstrap.h"
+#include "StateSpread/snapshot_throttle.h"
 #include "StateSpread/spread_tree.h"
-#include "StateSpread/store_duty.h"
+#include "StateSpread/watch_duty.h"
 #include "fleet_start.h"
 
 #include <CppUTest/TestHarness.h>
