--- a/Tests/platform_codec_test.cpp
+++ b/Tests/platform_codec_test.cpp
@@ -1,4 +1,4 @@
-// The platform's names and formats: each translation, and bad input.
+// The platform's names and formats: each conversion, and invalid input.
 
 #include "codec.h"
 
@@ -62,7 +62,7 @@
   LONGS_EQUAL(200, Read->Limits.MaxBodyBytes);
 }
 
-TEST(PlatformCodec, DownloadsMayBeRepeated) {
+TEST(PlatformCodec, DownloadsAreIdempotent) {
   std::string Text = ConfigurationText;
   Text.replace(Text.find("\"safe\""), 6, "\"download\"");
   CHECK(platform::decodeConfiguration(Text)->Routes[0].Class ==
@@ -78,7 +78,7 @@
   CHECK(Read->ColdFor == milliseconds(1'500));
 }
 
-TEST(PlatformCodec, ItsOwnObjectComesBackAsItWas) {
+TEST(PlatformCodec, OwnObjectSurvivesARoundTrip) {
   const fleet_member Member{"n1",         "z",          "r", "10.0.0.1:80",
                             "10.0.0.1:7", "10.0.0.1:8", 0.2};
   const auto Read = platform::decodeMember(platform::encodeMember(Member));
@@ -109,7 +109,7 @@
     CHECK_FALSE(platform::decodeLoad(Text).has_value());
 }
 
-TEST(PlatformCodec, MakesPathsAndAnswers) {
+TEST(PlatformCodec, EncodesPathsAndResponses) {
   CHECK_EQUAL(std::string("/amaranthhoist/objects/servers?after=i-1"),
               platform::encodeRequestPath(object_kind::Target,
                                           {store_verb::List, "i-1", 0}, {}));
@@ -122,16 +122,16 @@
               platform::encodeAddresses(Addresses, seconds(2)));
 }
 
-TEST(PlatformCodec, BadInputIsAnErrorAndNothingElse) {
+TEST(PlatformCodec, InvalidInputIsAnError) {
   std::mt19937_64 Random(13);
-  for (const std::string &Sound : {ConfigurationText, TargetText}) {
-    for (std::size_t Size = 0; Size < Sound.size(); ++Size) {
-      const std::string_view Cut = std::string_view(Sound).substr(0, Size);
+  for (const std::string &Valid : {ConfigurationText, TargetText}) {
+    for (std::size_t Size = 0; Size < Valid.size(); ++Size) {
+      const std::string_view Cut = std::string_view(Valid).substr(0, Size);
       CHECK_FALSE(platform::decodeConfiguration(Cut).has_value());
       CHECK_FALSE(platform::decodePage(Cut).has_value());
     }
     for (int Round = 0; Round < 3'000; ++Round) {
-      std::string Text = Sound;
+      std::string Text = Valid;
       for (int Change = 0; Change < 3; ++Change)
         Text[Random() % Text.size()] = static_cast<char>(Random());
       (void)platform::decodeConfiguration(Text);
@@ -143,18 +143,18 @@
   }
 }
 
-TEST(PlatformCodec, ReadsWhenABackendServerStarted) {
+TEST(PlatformCodec, ReadsABackendServersStartTime) {
   std::string Text = TargetText;
   Text.insert(Text.find("\"service\""), R"("born":1700000000123,)");
   CHECK(platform::decodeTarget(Text)->StartedAtMs == 1'700'000'000'123);
   CHECK(platform::decodeTarget(TargetText)->StartedAtMs == 0);
 }
 
-// Symptom: requests go to what is no server, or to one that doesn't take any.
-// Sequence: another writer leaves an entry that lacks fields, has them of other
-// types, or tells a state that nobody knows. Cause: filling the gaps with
-// defaults, as ready and one slot.
-TEST(PlatformCodec, AnEntryThatIsNotWholeNamesNoServer) {
+// Guards against requests being sent to something that is not a server, or to a
+// server that accepts none. Another writer leaves an entry that lacks fields,
+// has fields of other types, or has an unknown state; the decoder must not fill
+// the gaps with defaults such as ready and one slot.
+TEST(PlatformCodec, RejectsIncompleteServerEntries) {
   const std::string Whole =
       R"({"service":"desk","address":"10.0.0.1:80","zone":"z","slots":3,)"
       R"("state":"ready","warmup_remaining":"0ms","sequence":1})";
@@ -179,9 +179,10 @@
     CHECK_FALSE(Decode(Text).has_value());
 }
 
-// Symptom: a change of the list reaches no node. Sequence: one object of a page
-// holds bytes that are no text. Cause: the whole page counted as unreadable.
-TEST(PlatformCodec, BytesThatCannotBeReadHideNoOtherObject) {
+// Guards against a change of the list reaching no node: one object of a page
+// holds bytes that are not valid text, and the whole page was treated as
+// unreadable.
+TEST(PlatformCodec, UndecodableBytesHideNoOtherObject) {
   const std::string Foreign =
       "{\"metadata\":{\"name\":\"odd\"},\"specification\":{\"service\":"
       "\"\xff\xfe\x01\"}}";
