--- a/Libraries/NodeSettings/node_settings.h
+++ b/Libraries/NodeSettings/node_settings.h
@@ -1,5 +1,6 @@
 /// The settings of one node of the fleet: the single program that serves
-/// callers, look-ups and its peers. One YAML file, checked as a whole.
+/// callers, look-ups and its peers. Read from one YAML file and validated as a
+/// whole.
 #pragma once
 
 #include "Core/core.h"
@@ -12,28 +13,28 @@
 
 namespace amaranthhoist {
 
-/// Addresses that a node listens at, `ip:port`.
+/// Addresses that a node listens on, `ip:port`.
 struct node_addresses {
   /// For callers' requests.
   std::string Callers;
   std::string Readiness;
   /// For callers' look-ups.
   std::string Lookups;
-  /// Datagrams between nodes.
+  /// For datagrams between nodes.
   std::string Peers;
-  /// For nodes that ask for the store's objects.
+  /// For nodes that fetch the store's objects.
   std::string Control;
   std::string Metrics;
 };
 
-/// What operators bound, all nodes together.
+/// Limits set by operators, for all nodes together.
 struct node_bounds {
   double RepeatRatio = 0.1;
   duration RepeatWindow = std::chrono::seconds(10);
   double RepeatSlack = 0;
-  /// From SIGTERM until the process is killed.
+  /// Time from SIGTERM until the process is killed.
   duration GracePeriod = std::chrono::seconds(6);
-  /// The longest that callers keep a look-up's answer.
+  /// Maximum time callers cache a look-up's response.
   duration LookupTimeToLive = std::chrono::seconds(5);
 };
 
@@ -41,13 +42,13 @@
   std::string Instance;
   std::string FailureDomain;
   std::string Region;
-  /// Failure domains of the whole deployment, with their regions.
+  /// Failure domains of the whole deployment, mapped to their regions.
   std::map<std::string, std::string> FailureDomains;
   node_addresses Listen;
   /// `ip:port` of the platform's store.
   std::string Store;
-  /// Control addresses of some nodes, maybe stale: asked when the store can't
-  /// be reached and no other node is known.
+  /// Control addresses of some nodes, possibly outdated: used when the store
+  /// can't be reached and no other node is known.
   std::vector<std::string> Seeds;
   /// Share of one core that this node may use.
   double Processor = 1;
@@ -67,14 +68,14 @@
   std::vector<settings_fault> Faults;
 };
 
-/// Whether \p Text is meant as a node's settings, sound or not, and not as
-/// those of the three daemons.
+/// Returns whether \p Text is a node's settings file, valid or not, rather than
+/// one of the three daemons.
 bool isNodeSettings(std::string_view Text);
 
-/// Checks the text of a node's settings file.
+/// Validates the text of a node's settings file.
 node_settings_check checkNodeSettings(std::string_view Text);
 
-/// Loads and checks \p File; all faults in the error's message.
+/// Loads and validates \p File. The error's message lists all faults.
 result<node_settings> loadNodeSettings(const std::string &File);
 
 } // namespace amaranthhoist
--- a/Tests/node_settings_test.cpp
+++ b/Tests/node_settings_test.cpp
@@ -1,4 +1,4 @@
-// The settings of a node: every fault with its line and what is permitted.
+// The settings of a node: every fault is reported with its line.
 
 #include "NodeSettings/node_settings.h"
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-const std::string Sound = R"(instance: "n-1"
+const std::string ValidText = R"(instance: "n-1"
 failure_domain: "a1"
 region: "a"
 failure_domains: {"a1":"a","b1":"b"}
@@ -38,16 +38,16 @@
 TEST_GROUP(NodeSettings) {};
 // clang-format on
 
-TEST(NodeSettings, ReadsASoundFile) {
-  const auto Check = checkNodeSettings(Sound);
+TEST(NodeSettings, ReadsAValidFile) {
+  const auto Check = checkNodeSettings(ValidText);
   LONGS_EQUAL(0, Check.Faults.size());
   CHECK_EQUAL(std::string("b"), Check.Settings.FailureDomains.at("b1"));
   CHECK(Check.Settings.Bounds.RepeatWindow == std::chrono::seconds(10));
   DOUBLES_EQUAL(58, Check.Settings.Bounds.RepeatSlack, 0);
 }
 
-TEST(NodeSettings, TellsFaultsWithTheirLines) {
-  std::string Text = Sound;
+TEST(NodeSettings, ReportsFaultsWithTheirLines) {
+  std::string Text = ValidText;
   Text.replace(Text.find("10.0.0.1:83"), 11, "10.0.0.1:x3");
   Text.replace(Text.find("\"10s\""), 5, "\"10m\"");
   Text += "colour: red\n";
@@ -59,7 +59,7 @@
   CHECK_EQUAL(std::string("colour"), Check.Faults[2].Field);
 }
 
-TEST(NodeSettings, WhatIsNoYamlIsOneFault) {
+TEST(NodeSettings, InvalidYamlIsOneFault) {
   LONGS_EQUAL(1, checkNodeSettings("a: [").Faults.size());
   LONGS_EQUAL(1, checkNodeSettings("- a").Faults.size());
 }
