--- a/Services/Node/answer_slot.cpp
+++ b/Services/Node/answer_slot.cpp
@@ -2,61 +2,62 @@
 
 namespace amaranthhoist {
 
-answer_slot::answer_slot(node &Node, target_pool &Pool, slot_owner &Owner,
-                         caller_request Request, bool AsksToKeepAlive,
-                         std::size_t BodyBytes)
+response_slot::response_slot(node &Node, target_pool &Pool, slot_owner &Owner,
+                             caller_request Request, bool RequestsKeepAlive,
+                             std::size_t BodyBytes)
     : Node(Node), Owner(Owner), BodyBytes(BodyBytes),
-      AsksToKeepAlive(AsksToKeepAlive) {
+      RequestsKeepAlive(RequestsKeepAlive) {
   exchange_caller &Caller = *this;
   Exchange = std::make_unique<exchange>(Node, Pool, Caller, std::move(Request));
 }
 
-answer_slot::~answer_slot() { Node.HeldBodyBytes -= BodyBytes; }
+response_slot::~response_slot() { Node.BufferedBodyBytes -= BodyBytes; }
 
-void answer_slot::send(std::string_view Bytes) {
+void response_slot::send(std::string_view Bytes) {
   if (Owner.isFirst(*this))
     Owner.sendNow(Bytes);
   else
-    Waiting.append(Bytes);
+    PendingBytes.append(Bytes);
 }
 
-std::size_t answer_slot::unsent() const {
-  return Owner.isFirst(*this) ? Owner.unsentNow() : Waiting.size();
+std::size_t response_slot::unsentBytes() const {
+  return Owner.isFirst(*this) ? Owner.unsentBytes() : PendingBytes.size();
 }
 
-bool answer_slot::keepsAlive() {
-  SaysClose = !Owner.goesOnAfter(*this);
-  return !SaysClose;
+bool response_slot::decideKeepAlive() {
+  ClosesConnection = !Owner.keepsAliveAfter(*this);
+  return !ClosesConnection;
 }
 
-void answer_slot::onAnswered() {
-  IsOver = true;
+void response_slot::onResponseComplete() {
+  IsDone = true;
   if (Owner.isFirst(*this))
-    Owner.onFirstOver();
+    Owner.onFirstDone();
 }
 
-void answer_slot::cutShort() {
-  IsCut = true;
-  onAnswered();
+void response_slot::abortResponse() {
+  IsAborted = true;
+  onResponseComplete();
 }
 
-void answer_slot::becomeFirst() {
-  Owner.sendNow(Waiting);
-  Waiting.clear();
-  // Its server may have been stopped for what waited here.
-  if (!IsOver)
-    Exchange->callerDrained();
+void response_slot::onBecameFirst() {
+  Owner.sendNow(PendingBytes);
+  PendingBytes.clear();
+  // Reading from the server may have been paused because of the bytes buffered
+  // here.
+  if (!IsDone)
+    Exchange->onCallerDrained();
 }
 
-std::unique_ptr<exchange> answer_slot::callerLeft() {
-  if (IsOver || Exchange->callerLeft())
+std::unique_ptr<exchange> response_slot::onCallerDisconnected() {
+  if (IsDone || Exchange->onCallerDisconnected())
     return nullptr;
   return std::move(Exchange);
 }
 
-void answer_slot::noteCutOff() const {
-  if (!IsOver)
-    Exchange->noteCutOff();
+void response_slot::logAborted() const {
+  if (!IsDone)
+    Exchange->logAborted();
 }
 
 } // namespace amaranthhoist
--- a/Services/Node/answer_slot.h
+++ b/Services/Node/answer_slot.h
@@ -1,7 +1,7 @@
-/// One request's place in the order of answers on a caller's connection. A
-/// caller may send further requests before the first is answered; they are
-/// served side by side, and each answer waits here until those before it are
-/// out.
+/// The position of one request's response on a caller's connection. HTTP
+/// pipelining lets a caller send further requests before the first response;
+/// they are served concurrently, and each response is buffered here until all
+/// earlier ones are sent.
 #pragma once
 
 #include "exchange.h"
@@ -15,64 +15,67 @@
 
 namespace amaranthhoist {
 
-class answer_slot;
+class response_slot;
 
-/// The connection, as its slots use it.
+/// Interface to the connection that owns the slots.
 class slot_owner {
 public:
   virtual ~slot_owner() = default;
-  /// Whether \p Slot is the one whose answer goes out now.
-  virtual bool isFirst(const answer_slot &Slot) const = 0;
+  /// Returns whether the response of \p Slot is the one being sent.
+  virtual bool isFirst(const response_slot &Slot) const = 0;
   virtual void sendNow(std::string_view Bytes) = 0;
-  /// Bytes that the caller hasn't taken yet.
-  virtual std::size_t unsentNow() const = 0;
-  /// Decides whether the connection goes on after the answer of \p Slot.
-  virtual bool goesOnAfter(const answer_slot &Slot) = 0;
-  /// The first slot's answer is out, or can't be completed.
-  virtual void onFirstOver() = 0;
+  /// Bytes written but not yet accepted by the caller.
+  virtual std::size_t unsentBytes() const = 0;
+  /// Decides whether the connection stays open after the response of \p Slot.
+  virtual bool keepsAliveAfter(const response_slot &Slot) = 0;
+  /// Called when the first slot's response is complete or aborted.
+  virtual void onFirstDone() = 0;
 };
 
-class answer_slot : public retirable, private exchange_caller {
+class response_slot : public retirable, private exchange_caller {
 public:
-  /// \p BodyBytes of the request count towards the node's limit while it lasts.
-  answer_slot(node &Node, target_pool &Pool, slot_owner &Owner,
-              caller_request Request, bool AsksToKeepAlive,
-              std::size_t BodyBytes);
-  ~answer_slot() override;
+  /// \p BodyBytes count towards the node's limit on buffered bodies for the
+  /// lifetime of the slot.
+  response_slot(node &Node, target_pool &Pool, slot_owner &Owner,
+                caller_request Request, bool RequestsKeepAlive,
+                std::size_t BodyBytes);
+  ~response_slot() override;
 
-  void begin() { Exchange->begin(); }
-  /// The slot has become the first: sends what it held back.
-  void becomeFirst();
-  [[nodiscard]] bool isOver() const { return IsOver; }
-  /// The answer broke off: the connection has to be cut so that it shows.
-  [[nodiscard]] bool isCut() const { return IsCut; }
-  /// The answer says that the connection ends with it.
-  [[nodiscard]] bool saysClose() const { return SaysClose; }
-  /// The caller asked for the connection to go on.
-  [[nodiscard]] bool asksToKeepAlive() const { return AsksToKeepAlive; }
-  void callerDrained() { Exchange->callerDrained(); }
-  /// The caller has gone. The exchange, if its work goes on without it.
-  std::unique_ptr<exchange> callerLeft();
-  void noteCutOff() const;
+  void start() { Exchange->start(); }
+  /// Called when the slot becomes the first. Sends the buffered response bytes.
+  void onBecameFirst();
+  [[nodiscard]] bool isDone() const { return IsDone; }
+  /// Returns whether the response was aborted. The connection must then be
+  /// reset so that the caller detects the truncation.
+  [[nodiscard]] bool isAborted() const { return IsAborted; }
+  /// Returns whether the response announces `Connection: close`.
+  [[nodiscard]] bool closesConnection() const { return ClosesConnection; }
+  /// Returns whether the request allows the connection to stay open.
+  [[nodiscard]] bool requestsKeepAlive() const { return RequestsKeepAlive; }
+  void onCallerDrained() { Exchange->onCallerDrained(); }
+  /// Called when the caller disconnects. Returns the exchange if its work
+  /// continues without the caller.
+  std::unique_ptr<exchange> onCallerDisconnected();
+  void logAborted() const;
 
 private:
   void send(std::string_view Bytes) override;
-  std::size_t unsent() const override;
-  bool keepsAlive() override;
-  bool takesChunks() const override { return true; }
-  void onAnswered() override;
-  void cutShort() override;
+  std::size_t unsentBytes() const override;
+  bool decideKeepAlive() override;
+  bool supportsChunked() const override { return true; }
+  void onResponseComplete() override;
+  void abortResponse() override;
 
   node &Node;
   slot_owner &Owner;
   std::unique_ptr<exchange> Exchange;
-  /// The answer as far as it is known, until the slot is the first.
-  std::string Waiting;
+  /// Response bytes buffered until the slot is the first.
+  std::string PendingBytes;
   std::size_t BodyBytes;
-  bool AsksToKeepAlive;
-  bool SaysClose = false;
-  bool IsOver = false;
-  bool IsCut = false;
+  bool RequestsKeepAlive;
+  bool ClosesConnection = false;
+  bool IsDone = false;
+  bool IsAborted = false;
 };
 
 } // namespace amaranthhoist
--- a/Services/Node/beliefs.cpp
+++ b/Services/Node/beliefs.cpp
@@ -8,23 +8,23 @@
 
 static constexpr duration HousekeepingPeriod = std::chrono::milliseconds(150);
 
-beliefs::beliefs(node &Node) : Node(Node) {
-  Node.Loop.every(HousekeepingPeriod, [this] { keepHouse(); });
+replicated_state::replicated_state(node &Node) : Node(Node) {
+  Node.Loop.every(HousekeepingPeriod, [this] { runMaintenance(); });
 }
 
-void beliefs::keepHouse() {
-  if (listIsSure())
+void replicated_state::runMaintenance() {
+  if (isTargetListComplete())
     removeMissing(Node.Steering.Targets);
   freeDeparted(Node.Steering.Targets);
-  tellSpreads();
+  logRegionSpillover();
 }
 
-void beliefs::tellSpreads() {
+void replicated_state::logRegionSpillover() {
   for (const auto &[Service, Weights] : Node.Steering.Weights) {
-    double &Told = ToldSpreads[Service];
-    if (Told == Weights.Spread.Share)
+    double &LoggedShare = LoggedSpillover[Service];
+    if (LoggedShare == Weights.Spread.Share)
       continue;
-    Told = Weights.Spread.Share;
+    LoggedShare = Weights.Spread.Share;
     Node.Log.write(log_kind::Belief, "region_spread",
                    {{"service", Service},
                     {"share", Weights.Spread.Share},
@@ -33,25 +33,29 @@
   }
 }
 
-void beliefs::noteTrouble() { noteStoreTrouble(Trust, Node.Loop.now()); }
+void replicated_state::onStoreOutage() {
+  noteStoreTrouble(Trust, Node.Loop.now());
+}
 
-void beliefs::notePeer(bool ListIsSure) {
+void replicated_state::onPeerListState(bool ListIsSure) {
   notePeerTrust(Trust, ListIsSure, Node.Loop.now());
 }
 
-duration beliefs::configurationAge() const {
-  return Node.Steering.Routes ? Node.Loop.now() - ConfigurationSince
+duration replicated_state::configurationAge() const {
+  return Node.Steering.Routes ? Node.Loop.now() - ConfigurationAppliedAt
                               : duration::zero();
 }
 
-bool beliefs::listIsSure() const { return isListSure(Trust, Node.Loop.now()); }
+bool replicated_state::isTargetListComplete() const {
+  return isListSure(Trust, Node.Loop.now());
+}
 
-bool beliefs::knowsAll() const {
+bool replicated_state::hasFullState() const {
   return std::all_of(Cache.Kinds.begin(), Cache.Kinds.end(),
                      [](const auto &Kind) { return Kind.HasState; });
 }
 
-void beliefs::take(kind_changes Changes) {
+void replicated_state::update(kind_changes Changes) {
   const bool IsFull = Changes.IsFull;
   if (!takeChanges(Cache, Changes))
     return;
@@ -59,18 +63,18 @@
     apply(Changes.Kind, Change);
   if (Changes.Kind == object_kind::Instance && !Changes.Changes.empty())
     applyInstances();
-  Node.HasLearned = Node.HasLearned || knowsAll();
+  Node.HasFullState = Node.HasFullState || hasFullState();
   if (IsFull)
     Node.Log.write(
         log_kind::Belief, "listed",
         {{"kind", platform::encodeKind(Changes.Kind)},
          {"objects", static_cast<std::int64_t>(Changes.Changes.size())},
          {"revision", static_cast<std::int64_t>(Changes.AtRevision)},
-         {"sure", listIsSure()}},
+         {"sure", isTargetListComplete()}},
         Node.Loop.now());
 }
 
-void beliefs::apply(object_kind Kind, const object_change &Change) {
+void replicated_state::apply(object_kind Kind, const object_change &Change) {
   switch (Kind) {
   case object_kind::Configuration:
     if (!Change.IsDeleted)
@@ -87,19 +91,19 @@
   }
 }
 
-void beliefs::tellUnreadable(object_kind Kind, std::string_view Name,
-                             std::string_view Why) {
+void replicated_state::logUnreadable(object_kind Kind, std::string_view Name,
+                                     std::string_view Why) {
   Node.Log.write(
       log_kind::Belief, "object_unreadable",
       {{"kind", platform::encodeKind(Kind)}, {"name", Name}, {"why", Why}},
       Node.Loop.now());
 }
 
-void beliefs::applyConfigurationText(const std::string &Text) {
+void replicated_state::applyConfigurationText(const std::string &Text) {
   auto Configuration = platform::decodeConfiguration(Text);
   if (!Configuration) {
-    tellUnreadable(object_kind::Configuration, {},
-                   Configuration.error().Message);
+    logUnreadable(object_kind::Configuration, {},
+                  Configuration.error().Message);
     return;
   }
   const std::uint64_t Version = Configuration->Version;
@@ -107,7 +111,7 @@
   const bool IsNew =
       applyConfiguration(Node.Steering, std::move(*Configuration));
   if (IsNew)
-    ConfigurationSince = Node.Loop.now();
+    ConfigurationAppliedAt = Node.Loop.now();
   Node.Log.write(log_kind::Belief,
                  IsNew ? "configuration_applied" : "configuration_kept",
                  {{"version", static_cast<std::int64_t>(Version)},
@@ -115,26 +119,28 @@
                  Node.Loop.now());
 }
 
-/// An entry that a connection can be made to.
+/// Decodes an entry and checks that its address can be connected to.
 static result<target_entry> decodeServer(const std::string &Text) {
   target_entry Entry = TRY(platform::decodeTarget(Text));
   TRY(parseEndpoint(Entry.Address));
   return Entry;
 }
 
-void beliefs::applyTarget(const object_change &Change) {
+void replicated_state::applyTarget(const object_change &Change) {
   const instant Now = Node.Loop.now();
   if (Change.IsDeleted) {
-    removeTarget(Node.Steering.Targets, Change.Name, listIsSure());
+    removeTarget(Node.Steering.Targets, Change.Name, isTargetListComplete());
     Node.Log.write(log_kind::Belief, "server_removed",
-                   {{"server", Change.Name}, {"sure", listIsSure()}}, Now);
+                   {{"server", Change.Name}, {"sure", isTargetListComplete()}},
+                   Now);
     return;
   }
   auto Entry = decodeServer(Change.Text);
   if (!Entry) {
-    // Whoever wrote it, the entry names no server that may be used.
+    // An entry that can't be decoded names no usable server, whichever writer
+    // made it.
     removeTarget(Node.Steering.Targets, Change.Name, /*ListIsSure=*/true);
-    tellUnreadable(object_kind::Target, Change.Name, Entry.error().Message);
+    logUnreadable(object_kind::Target, Change.Name, Entry.error().Message);
     return;
   }
   putTarget(Node.Steering.Targets, *Entry, Now);
@@ -147,7 +153,7 @@
       Now);
 }
 
-void beliefs::applyEvacuation(const object_change &Change) {
+void replicated_state::applyEvacuation(const object_change &Change) {
   duration ColdTime{};
   if (Node.Steering.Routes)
     for (const service &Service : Node.Steering.Routes->Configuration.Services)
@@ -159,7 +165,7 @@
                  {{"failure_domain", Change.Name}}, Node.Loop.now());
 }
 
-void beliefs::applyInstances() {
+void replicated_state::applyInstances() {
   const auto &Entries =
       Cache.Kinds[static_cast<std::size_t>(object_kind::Instance)].Entries;
   std::vector<fleet_member> Members;
@@ -170,7 +176,7 @@
     if (Member)
       Members.push_back(std::move(*Member));
     else
-      tellUnreadable(object_kind::Instance, Name, Member.error().Message);
+      logUnreadable(object_kind::Instance, Name, Member.error().Message);
   }
   setFleet(Node.Fleet, std::move(Members));
   Node.Steering.Instances = instanceHashes(Node.Fleet);
--- a/Services/Node/beliefs.h
+++ b/Services/Node/beliefs.h
@@ -1,5 +1,5 @@
-/// Turns the store's objects, wherever they came from, into what the node
-/// believes: its configuration, servers, evacuated failure domains and fleet.
+/// Applies the store's objects, from whichever source, to the node's state: its
+/// configuration, servers, evacuated failure domains and fleet.
 #pragma once
 
 #include "ObjectCache/object_cache.h"
@@ -11,22 +11,23 @@
 
 namespace amaranthhoist {
 
-class beliefs {
+class replicated_state {
 public:
-  explicit beliefs(node &Node);
+  explicit replicated_state(node &Node);
 
-  /// Takes in changes; older ones than are known are left out.
-  void take(kind_changes Changes);
+  /// Applies changes; ignores those older than the cached state.
+  void update(kind_changes Changes);
 
-  /// The store fell silent, or answers again after that.
-  void noteTrouble();
-  /// A peer whose state is fresh tells whether its list is sure.
-  void notePeer(bool ListIsSure);
-  [[nodiscard]] bool listIsSure() const;
+  /// Called when the store stops responding, and when it responds again.
+  void onStoreOutage();
+  /// Called with a peer's fresh state: whether its server list is complete.
+  void onPeerListState(bool ListIsSure);
+  [[nodiscard]] bool isTargetListComplete() const;
 
-  /// Whether every kind was known whole once.
-  [[nodiscard]] bool knowsAll() const;
-  /// Since the configuration in force was applied; zero: none yet.
+  /// Returns whether a full list of every kind has been received.
+  [[nodiscard]] bool hasFullState() const;
+  /// Time since the configuration in force was applied; zero if there is none
+  /// yet.
   [[nodiscard]] duration configurationAge() const;
   [[nodiscard]] const object_cache &cache() const { return Cache; }
 
@@ -36,18 +37,18 @@
   void applyTarget(const object_change &Change);
   void applyEvacuation(const object_change &Change);
   void applyInstances();
-  void tellUnreadable(object_kind Kind, std::string_view Name,
-                      std::string_view Why);
-  void keepHouse();
-  void tellSpreads();
+  void logUnreadable(object_kind Kind, std::string_view Name,
+                     std::string_view Why);
+  void runMaintenance();
+  void logRegionSpillover();
 
   node &Node;
   object_cache Cache;
   list_trust Trust;
-  instant ConfigurationSince{};
-  /// Shares of the work that is spread over all regions, by service, as the log
-  /// has them.
-  text_map<double> ToldSpreads;
+  instant ConfigurationAppliedAt{};
+  /// Last logged share of the requests that spill over to all regions, by
+  /// service.
+  text_map<double> LoggedSpillover;
 };
 
 } // namespace amaranthhoist
--- a/Services/Node/caller_connection.cpp
+++ b/Services/Node/caller_connection.cpp
@@ -6,22 +6,23 @@
 
 namespace amaranthhoist {
 
-/// Bytes of later requests that are taken in while others are served: reading
-/// on shows when the caller goes away.
-static constexpr std::size_t MostBacklog = 65'536;
-/// Requests of one connection that are served at a time. Served one after the
-/// other, a request waits for all before it, and 6 % of them on a calm day, 9 %
-/// on a heavy one, took over half of their objective to reach a server. Worth
-/// +0.026 where callers send ahead (30 pairs). Bounded, since each may hold an
-/// answer back.
-static constexpr std::size_t MostAtATime = 8;
-/// A caller that was told that the connection ends has this long to close it.
-static constexpr duration EndingTime = std::chrono::seconds(1);
-/// Head sizes are checked against the configuration; this bounds them before
-/// there is one.
+/// Bytes of pipelined requests that are buffered while others are served.
+/// Continuing to read detects when the caller disconnects.
+static constexpr std::size_t MaxBacklogBytes = 65'536;
+/// Maximum number of requests of one connection that are served concurrently.
+/// Served one after the other, a request waits for all earlier ones, and 6 % of
+/// them on a calm day, 9 % on a heavy one, took over half of their objective to
+/// reach a server. Concurrency is worth +0.026 where callers pipeline (30
+/// pairs). It is bounded because each request may buffer a response.
+static constexpr std::size_t MaxConcurrentRequests = 8;
+/// Time a caller has to close the connection after it was told that the
+/// connection ends.
+static constexpr duration CloseTimeout = std::chrono::seconds(1);
+/// Limits the head size until a configuration, which has its own limit, is
+/// applied.
 static constexpr std::size_t HardHeadLimit = 65'536;
-/// Part of the memory limit that requests' bodies may fill.
-static constexpr std::size_t BodyMemoryPart = 4;
+/// Request bodies may use one part in this many of the memory limit.
+static constexpr std::size_t BodyMemoryDivisor = 4;
 
 static constexpr std::string_view ContinueHead =
     "HTTP/1.1 100 Continue\r\n\r\n";
@@ -43,7 +44,7 @@
 }
 
 bool caller_connection::open(int Descriptor) {
-  setTimer(limits().IdleTimeout, &caller_connection::onIdle);
+  setTimer(limits().IdleTimeout, &caller_connection::onIdleTimeout);
   return Stream.open(Descriptor, /*IsConnected=*/true);
 }
 
@@ -56,24 +57,24 @@
   });
 }
 
-void caller_connection::onIdle() { end(); }
+void caller_connection::onIdleTimeout() { closeGracefully(); }
 
-void caller_connection::onSlow() { rejectAndEnd(408); }
+void caller_connection::onReadTimeout() { rejectAndClose(408); }
 
-void caller_connection::endIdle() {
-  if (!isBusy() && !IsEnding)
-    end();
+void caller_connection::closeIfIdle() {
+  if (!isBusy() && !IsClosing)
+    closeGracefully();
 }
 
-void caller_connection::end() {
-  if (IsEnding)
+void caller_connection::closeGracefully() {
+  if (IsClosing)
     return;
-  IsEnding = true;
+  IsClosing = true;
   Stream.endWhenDrained();
-  setTimer(EndingTime, &caller_connection::leave);
+  setTimer(CloseTimeout, &caller_connection::closeNow);
 }
 
-void caller_connection::leave() {
+void caller_connection::closeNow() {
   Stream.close();
   Server.retire(*this);
 }
@@ -81,8 +82,8 @@
 void caller_connection::onEnd(stream_end /*End*/) {
   Node.Loop.cancel(Timer);
   while (!Slots.empty()) {
-    // Work that goes on is kept by the server until it is over.
-    if (auto Exchange = Slots.front()->callerLeft())
+    // The server keeps exchanges that continue without the caller.
+    if (auto Exchange = Slots.front()->onCallerDisconnected())
       Server.adopt(std::move(Exchange));
     retireFirst();
   }
@@ -90,74 +91,76 @@
 }
 
 void caller_connection::onBytes(std::string_view Bytes) {
-  if (IsEnding)
+  if (IsClosing)
     return;
   LastBytesAt = Node.Loop.now();
   Backlog.append(Bytes);
-  if (!Slots.empty() && Backlog.size() > MostBacklog)
+  if (!Slots.empty() && Backlog.size() > MaxBacklogBytes)
     Stream.pause();
-  readOn();
+  processBacklog();
 }
 
 void caller_connection::onDrained() {
   if (!Slots.empty())
-    Slots.front()->callerDrained();
+    Slots.front()->onCallerDrained();
 }
 
-/// Whether the next request may be read while others are served.
-bool caller_connection::mayReadOn() const {
-  if (IsEnding || IsClosing || Held || HeldRejection)
+/// Returns whether the next request may be parsed while others are served.
+bool caller_connection::mayReadNext() const {
+  if (IsClosing || IsLastRequestRead || DeferredRequest || DeferredRejection)
     return false;
-  // What a leaving node takes here would only keep it from ending.
-  return Slots.empty() || (Slots.size() < MostAtATime && !Node.IsLeaving);
+  // A request accepted while the node shuts down would delay its exit.
+  return Slots.empty() ||
+         (Slots.size() < MaxConcurrentRequests && !Node.IsShuttingDown);
 }
 
-void caller_connection::readOn() {
+void caller_connection::processBacklog() {
   if (IsReading)
     return;
   IsReading = true;
   std::size_t Taken = 0;
-  while (Taken < Backlog.size() && mayReadOn()) {
-    const std::size_t Read = read(std::string_view(Backlog).substr(Taken));
-    Taken += Read;
-    if (Read == 0)
+  while (Taken < Backlog.size() && mayReadNext()) {
+    const std::size_t Consumed =
+        feedReader(std::string_view(Backlog).substr(Taken));
+    Taken += Consumed;
+    if (Consumed == 0)
       break;
   }
   Backlog.erase(0, Taken);
   IsReading = false;
 }
 
-std::size_t caller_connection::read(std::string_view Bytes) {
+std::size_t caller_connection::feedReader(std::string_view Bytes) {
   if (!Reader.hasBegun()) {
-    RequestBegan = LastBytesAt;
-    HeadTaken = false;
-    setTimer(limits().HeadTimeout, &caller_connection::onSlow);
+    RequestStartedAt = LastBytesAt;
+    IsHeadHandled = false;
+    setTimer(limits().HeadTimeout, &caller_connection::onReadTimeout);
   }
   const std::size_t Taken = Reader.feed(Bytes);
   const read_state State = Reader.state();
   if (State == read_state::Malformed) {
-    rejectAndEnd(400);
+    rejectAndClose(400);
     return Taken;
   }
   if (State == read_state::HeadTooLarge) {
-    rejectAndEnd(431);
+    rejectAndClose(431);
     return Taken;
   }
   if (State == read_state::InHead)
     return Taken;
-  if (!HeadTaken && !takeHead())
+  if (!IsHeadHandled && !handleHead())
     return Taken;
-  const std::size_t NewBytes = Reader.body().size() - HeldBytes;
-  HeldBytes += NewBytes;
-  Node.HeldBodyBytes += NewBytes;
-  if (HeldBytes > limits().MaxBodyBytes)
-    rejectAndEnd(413);
-  else if (Node.HeldBodyBytes >
+  const std::size_t NewBytes = Reader.body().size() - BufferedBodyBytes;
+  BufferedBodyBytes += NewBytes;
+  Node.BufferedBodyBytes += NewBytes;
+  if (BufferedBodyBytes > limits().MaxBodyBytes)
+    rejectAndClose(413);
+  else if (Node.BufferedBodyBytes >
            static_cast<std::size_t>(Node.Settings.MemoryMb) * 1'000'000 /
-               BodyMemoryPart)
-    rejectAndEnd(503);
+               BodyMemoryDivisor)
+    rejectAndClose(503);
   else if (State == read_state::Complete)
-    takeRequest();
+    handleRequest();
   return Taken;
 }
 
@@ -170,33 +173,33 @@
   return std::chrono::milliseconds(*Ms);
 }
 
-/// Checks what the head alone tells. False when the request was rejected.
-bool caller_connection::takeHead() {
-  HeadTaken = true;
+/// Validates the request head. Returns false when the request was rejected.
+bool caller_connection::handleHead() {
+  IsHeadHandled = true;
   const message_head &Head = Reader.head();
   RequestKeepsAlive = Reader.keepsAlive();
   const bool HasTarget =
       Head.target().starts_with("/") && Head.method() != "CONNECT";
   if (!HasTarget || Head.count("host") != 1) {
-    rejectAndEnd(400);
+    rejectAndClose(400);
     return false;
   }
   if (Reader.contentLength().value_or(0) > limits().MaxBodyBytes) {
-    rejectAndEnd(413);
+    rejectAndClose(413);
     return false;
   }
   if (Reader.state() == read_state::Complete)
     return true;
   if (const auto Expect = Head.find("expect");
       Expect && equalsIgnoringCase(*Expect, "100-continue")) {
-    OwesContinue = !Slots.empty();
-    if (!OwesContinue)
+    IsContinuePending = !Slots.empty();
+    if (!IsContinuePending)
       Stream.write(ContinueHead);
   }
-  // The body may take as long as the caller waits for the answer.
+  // The body may take as long as the caller waits for the response.
   setTimer(std::max(limits().HeadTimeout, timeLeft(Head, Node.Wire.TimeLeft)
                                               .value_or(limits().HeadTimeout)),
-           &caller_connection::onSlow);
+           &caller_connection::onReadTimeout);
   return true;
 }
 
@@ -210,12 +213,12 @@
   Request.Host = Head.find("host").value_or("");
   Request.ObjectKey = Head.find(Wire.ObjectKey).value_or("");
   Request.TimeLeft = timeLeft(Head, Wire.TimeLeft);
-  Request.Arrived = RequestBegan;
+  Request.ArrivedAt = RequestStartedAt;
   Request.HasBody = Head.find("content-length").has_value() ||
                     Head.find("transfer-encoding").has_value();
   for (std::size_t Index = 0; Index < Head.fieldCount(); ++Index) {
     const auto Field = Head.fieldAt(Index);
-    // Those that this node sets itself must not come from a caller.
+    // Fields that this node sets itself must not come from a caller.
     const bool IsOurs = equalsIgnoringCase(Field.Name, Wire.TimeLeft) ||
                         equalsIgnoringCase(Field.Name, Wire.ExpectedTarget) ||
                         equalsIgnoringCase(Field.Name, "content-length") ||
@@ -231,45 +234,49 @@
   return Request;
 }
 
-/// If an answer ends the connection, the caller sends everything behind it
-/// again, also what mustn't run twice, since nobody told it that it had been
-/// taken. Such work has to wait until the answers before it are out.
-bool caller_connection::mayServeBeside(const caller_request &Request) const {
+/// If a response closes the connection, the caller resends all later requests,
+/// including those that must not run twice, because nothing tells it that they
+/// were accepted. Non-idempotent requests therefore wait until all earlier
+/// responses are sent.
+bool caller_connection::mayServeConcurrently(
+    const caller_request &Request) const {
   return Slots.empty() || classOf(Node.Steering, Request.Host,
                                   Request.path()) == work_class::Idempotent;
 }
 
-/// A request is whole.
-void caller_connection::takeRequest() {
+/// Called when a request is complete.
+void caller_connection::handleRequest() {
   Node.Loop.cancel(Timer);
   caller_request Request = makeRequest();
   Reader.reset();
-  if (mayServeBeside(Request))
+  if (mayServeConcurrently(Request))
     serve(std::move(Request));
   else
-    Held = std::move(Request);
+    DeferredRequest = std::move(Request);
 }
 
 void caller_connection::serve(caller_request Request) {
-  IsClosing = !RequestKeepsAlive;
+  IsLastRequestRead = !RequestKeepsAlive;
   slot_owner &Owner = *this;
-  Slots.push_back(std::make_unique<answer_slot>(
-      Node, Pool, Owner, std::move(Request), RequestKeepsAlive, HeldBytes));
-  // Counted by the slot from here.
-  HeldBytes = 0;
-  Slots.back()->begin();
+  Slots.push_back(
+      std::make_unique<response_slot>(Node, Pool, Owner, std::move(Request),
+                                      RequestKeepsAlive, BufferedBodyBytes));
+  // The slot accounts for these bytes from here on.
+  BufferedBodyBytes = 0;
+  Slots.back()->start();
 }
 
-bool caller_connection::isFirst(const answer_slot &Slot) const {
+bool caller_connection::isFirst(const response_slot &Slot) const {
   return !Slots.empty() && Slots.front().get() == &Slot;
 }
 
-/// While a node leaves, only the last of the requests that were taken ends the
-/// connection: those behind it are with servers already.
-bool caller_connection::goesOnAfter(const answer_slot &Slot) {
+/// While the node shuts down, only the last accepted request closes the
+/// connection, since the requests behind an earlier one are already at servers.
+bool caller_connection::keepsAliveAfter(const response_slot &Slot) {
   const bool IsLast = Slots.back().get() == &Slot;
-  const bool GoesOn = Slot.asksToKeepAlive() && !(Node.IsLeaving && IsLast);
-  IsClosing = IsClosing || !GoesOn;
+  const bool GoesOn =
+      Slot.requestsKeepAlive() && !(Node.IsShuttingDown && IsLast);
+  IsLastRequestRead = IsLastRequestRead || !GoesOn;
   return GoesOn;
 }
 
@@ -278,63 +285,63 @@
   Slots.pop_front();
 }
 
-void caller_connection::onFirstOver() {
-  while (!Slots.empty() && Slots.front()->isOver()) {
-    const bool IsCut = Slots.front()->isCut();
-    const bool SaysClose = Slots.front()->saysClose();
+void caller_connection::onFirstDone() {
+  while (!Slots.empty() && Slots.front()->isDone()) {
+    const bool IsAborted = Slots.front()->isAborted();
+    const bool ClosesConnection = Slots.front()->closesConnection();
     retireFirst();
-    if (IsCut) {
+    if (IsAborted) {
       Stream.closeWithReset();
       onEnd(stream_end::Broken);
       return;
     }
-    if (SaysClose) {
-      end();
+    if (ClosesConnection) {
+      closeGracefully();
       return;
     }
     if (!Slots.empty())
-      Slots.front()->becomeFirst();
+      Slots.front()->onBecameFirst();
   }
   if (Slots.empty())
-    afterLastAnswer();
+    onAllResponsesSent();
   Stream.resume();
-  readOn();
+  processBacklog();
 }
 
-/// Goes on with what had to wait for the answers before it.
-void caller_connection::afterLastAnswer() {
-  if (HeldRejection) {
-    writeRejection(*HeldRejection);
+/// Continues with work that was deferred until the earlier responses were sent.
+void caller_connection::onAllResponsesSent() {
+  if (DeferredRejection) {
+    writeRejection(*DeferredRejection);
     return;
   }
-  if (OwesContinue)
+  if (IsContinuePending)
     Stream.write(ContinueHead);
-  OwesContinue = false;
-  if (Held) {
-    caller_request Request = std::move(*Held);
-    Held.reset();
+  IsContinuePending = false;
+  if (DeferredRequest) {
+    caller_request Request = std::move(*DeferredRequest);
+    DeferredRequest.reset();
     serve(std::move(Request));
     return;
   }
   if (!Reader.hasBegun())
-    setTimer(limits().IdleTimeout, &caller_connection::onIdle);
+    setTimer(limits().IdleTimeout, &caller_connection::onIdleTimeout);
 }
 
-void caller_connection::noteCutOff() const {
+void caller_connection::logAborted() const {
   for (const auto &Slot : Slots)
-    Slot->noteCutOff();
+    Slot->logAborted();
 }
 
 void caller_connection::releaseBody() {
-  Node.HeldBodyBytes -= HeldBytes;
-  HeldBytes = 0;
+  Node.BufferedBodyBytes -= BufferedBodyBytes;
+  BufferedBodyBytes = 0;
 }
 
-void caller_connection::rejectAndEnd(int Status) {
+void caller_connection::rejectAndClose(int Status) {
   if (Slots.empty())
     writeRejection(Status);
   else
-    HeldRejection = Status;
+    DeferredRejection = Status;
 }
 
 void caller_connection::writeRejection(int Status) {
@@ -350,7 +357,7 @@
                  Node.Loop.now());
   releaseBody();
   Stream.write(Text);
-  end();
+  closeGracefully();
 }
 
 } // namespace amaranthhoist
--- a/Services/Node/caller_connection.h
+++ b/Services/Node/caller_connection.h
@@ -1,6 +1,6 @@
-/// One connection of a caller: reads its requests, has each served by an
-/// exchange, several at a time where that is safe, and sees when the caller
-/// goes away.
+/// One connection of a caller. Parses its requests, serves each by an exchange,
+/// several concurrently where that is safe, and detects when the caller
+/// disconnects.
 #pragma once
 
 #include "EventLoop/stream.h"
@@ -28,46 +28,46 @@
   ~caller_connection() override;
 
   [[nodiscard]] bool open(int Descriptor);
-  /// Whether a request is being read or served.
+  /// Returns whether a request is being read or served.
   [[nodiscard]] bool isBusy() const {
     return !Slots.empty() || Reader.hasBegun();
   }
-  /// Ends an idle connection.
-  void endIdle();
-  /// The process ends before the requests that are served do.
-  void noteCutOff() const;
+  /// Closes the connection if it is idle.
+  void closeIfIdle();
+  /// Logs the requests that are aborted because the process exits.
+  void logAborted() const;
 
 private:
   void onBytes(std::string_view Bytes) override;
   void onDrained() override;
   void onEnd(stream_end End) override;
 
-  bool isFirst(const answer_slot &Slot) const override;
+  bool isFirst(const response_slot &Slot) const override;
   void sendNow(std::string_view Bytes) override { Stream.write(Bytes); }
-  std::size_t unsentNow() const override { return Stream.pending(); }
-  bool goesOnAfter(const answer_slot &Slot) override;
-  void onFirstOver() override;
+  std::size_t unsentBytes() const override { return Stream.pending(); }
+  bool keepsAliveAfter(const response_slot &Slot) override;
+  void onFirstDone() override;
 
-  void readOn();
-  [[nodiscard]] bool mayReadOn() const;
-  /// Reads on; how many bytes it took.
-  std::size_t read(std::string_view Bytes);
-  bool takeHead();
-  void takeRequest();
+  void processBacklog();
+  [[nodiscard]] bool mayReadNext() const;
+  /// Feeds \p Bytes to the reader. Returns the number of bytes consumed.
+  std::size_t feedReader(std::string_view Bytes);
+  bool handleHead();
+  void handleRequest();
   caller_request makeRequest();
-  [[nodiscard]] bool mayServeBeside(const caller_request &Request) const;
+  [[nodiscard]] bool mayServeConcurrently(const caller_request &Request) const;
   void serve(caller_request Request);
   void retireFirst();
-  void afterLastAnswer();
-  /// Answers in place of an exchange and ends the connection, once the requests
-  /// before have their answers.
-  void rejectAndEnd(int Status);
+  void onAllResponsesSent();
+  /// Sends a response with \p Status without an exchange and closes the
+  /// connection, after the responses to all earlier requests.
+  void rejectAndClose(int Status);
   void writeRejection(int Status);
-  void end();
-  void leave();
+  void closeGracefully();
+  void closeNow();
   void setTimer(duration Delay, void (caller_connection::*Function)());
-  void onIdle();
-  void onSlow();
+  void onIdleTimeout();
+  void onReadTimeout();
   void releaseBody();
   const request_limits &limits() const;
 
@@ -76,26 +76,28 @@
   caller_server &Server;
   stream Stream;
   message_reader Reader;
-  /// Requests under way in the order of their answers.
-  std::deque<std::unique_ptr<answer_slot>> Slots;
-  /// A whole request that mustn't be served beside those before it.
-  std::optional<caller_request> Held;
-  /// A rejection that waits for the answers before it.
-  std::optional<int> HeldRejection;
+  /// Requests in flight, in response order.
+  std::deque<std::unique_ptr<response_slot>> Slots;
+  /// A complete request that must not be served concurrently with the earlier
+  /// ones.
+  std::optional<caller_request> DeferredRequest;
+  /// Status of a rejection that waits for the earlier responses.
+  std::optional<int> DeferredRejection;
   std::string Backlog;
   timer_id Timer = 0;
   instant LastBytesAt{};
-  instant RequestBegan{};
-  /// Of the body that is being read, or of the held request.
-  std::size_t HeldBytes = 0;
-  bool HeadTaken = false;
+  instant RequestStartedAt{};
+  /// Size of the body that is being read, or of the deferred request's body.
+  std::size_t BufferedBodyBytes = 0;
+  bool IsHeadHandled = false;
   bool RequestKeepsAlive = true;
-  /// The caller waits for a word before it sends its body.
-  bool OwesContinue = false;
+  /// The caller expects `100 Continue` before it sends its body.
+  bool IsContinuePending = false;
   bool IsReading = false;
-  /// An answer has said, or will say, that the connection ends with it.
+  /// A response has announced, or will announce, that the connection closes
+  /// after it.
+  bool IsLastRequestRead = false;
   bool IsClosing = false;
-  bool IsEnding = false;
 };
 
 } // namespace amaranthhoist
--- a/Services/Node/caller_server.cpp
+++ b/Services/Node/caller_server.cpp
@@ -6,9 +6,10 @@
 
 namespace amaranthhoist {
 
-/// Without descriptors left, waiting connections are tried again this often.
-static constexpr duration AcceptAgainAfter = std::chrono::milliseconds(20);
-/// Descriptors kept free for servers, the store and files.
+/// Delay before pending connections are accepted again when no descriptors are
+/// left.
+static constexpr duration AcceptRetryDelay = std::chrono::milliseconds(20);
+/// Descriptors reserved for servers, the store and files.
 static constexpr std::size_t ReservedDescriptors = 600;
 
 caller_server::caller_server(node &Node, target_pool &Pool)
@@ -31,9 +32,9 @@
   Listener = -1;
 }
 
-void caller_server::onEvent(const io_event & /*Event*/) { acceptAll(); }
+void caller_server::onEvent(const io_event & /*Event*/) { acceptPending(); }
 
-void caller_server::acceptAll() {
+void caller_server::acceptPending() {
   const auto Limit = static_cast<std::size_t>(Node.Settings.FileDescriptors) -
                      ReservedDescriptors;
   while (Listener >= 0) {
@@ -41,10 +42,10 @@
     const int Descriptor =
         OutOfDescriptors ? -1 : acceptFrom(Listener, OutOfDescriptors);
     if (Descriptor < 0) {
-      if (OutOfDescriptors && AcceptAgain == 0)
-        AcceptAgain = Node.Loop.after(AcceptAgainAfter, [this] {
-          AcceptAgain = 0;
-          acceptAll();
+      if (OutOfDescriptors && AcceptRetryTimer == 0)
+        AcceptRetryTimer = Node.Loop.after(AcceptRetryDelay, [this] {
+          AcceptRetryTimer = 0;
+          acceptPending();
         });
       return;
     }
@@ -56,25 +57,25 @@
   }
 }
 
-void caller_server::endIdleConnections() {
+void caller_server::closeIdleConnections() {
   std::vector<caller_connection *> All;
   for (const auto &[Raw, Connection] : Connections)
     All.push_back(Raw);
   for (caller_connection *Connection : All)
-    Connection->endIdle();
+    Connection->closeIfIdle();
 }
 
 bool caller_server::isBusy() const {
-  return !Adopted.empty() ||
+  return !DetachedExchanges.empty() ||
          std::any_of(Connections.begin(), Connections.end(),
                      [](const auto &Entry) { return Entry.first->isBusy(); });
 }
 
-void caller_server::noteCutOff() {
+void caller_server::logAborted() {
   for (const auto &[Raw, Connection] : Connections)
-    Raw->noteCutOff();
-  for (const auto &[Raw, Exchange] : Adopted)
-    Raw->noteCutOff();
+    Raw->logAborted();
+  for (const auto &[Raw, Exchange] : DetachedExchanges)
+    Raw->logAborted();
 }
 
 void caller_server::retire(caller_connection &Connection) {
@@ -87,14 +88,14 @@
 
 void caller_server::adopt(std::unique_ptr<exchange> Exchange) {
   exchange *Raw = Exchange.get();
-  Raw->goOnAlone([this, Raw] {
-    auto Found = Adopted.find(Raw);
-    if (Found == Adopted.end())
+  Raw->detach([this, Raw] {
+    auto Found = DetachedExchanges.find(Raw);
+    if (Found == DetachedExchanges.end())
       return;
     Node.Retired.push_back(std::move(Found->second));
-    Adopted.erase(Found);
+    DetachedExchanges.erase(Found);
   });
-  Adopted.emplace(Raw, std::move(Exchange));
+  DetachedExchanges.emplace(Raw, std::move(Exchange));
 }
 
 } // namespace amaranthhoist
--- a/Services/Node/caller_server.h
+++ b/Services/Node/caller_server.h
@@ -1,4 +1,4 @@
-/// Accepts callers' connections and keeps them and their exchanges.
+/// Accepts callers' connections and owns them and their exchanges.
 #pragma once
 
 #include "Text/text.h"
@@ -17,32 +17,33 @@
   ~caller_server() override;
 
   result<bool> listen(const endpoint &Endpoint);
-  /// Takes no more connections.
+  /// Stops accepting connections.
   void stopListening();
-  /// Ends connections without a request.
-  void endIdleConnections();
-  /// Whether any request is being read or served, with or without its caller.
+  /// Closes connections without a request.
+  void closeIdleConnections();
+  /// Returns whether any request is being read or served, with or without its
+  /// caller.
   [[nodiscard]] bool isBusy() const;
 
-  /// The process ends: leaves a line on each request that it cuts off, or an
-  /// operator would find none that tells what became of it.
-  void noteCutOff();
+  /// Called when the process exits. Logs each request that is aborted, so that
+  /// operators can trace what happened to it.
+  void logAborted();
 
   void retire(caller_connection &Connection);
-  /// Keeps an exchange whose caller has gone until it is over.
+  /// Owns an exchange whose caller has disconnected until it finishes.
   void adopt(std::unique_ptr<exchange> Exchange);
 
 private:
   void onEvent(const io_event &Event) override;
-  void acceptAll();
+  void acceptPending();
 
   node &Node;
   target_pool &Pool;
   int Listener = -1;
-  timer_id AcceptAgain = 0;
+  timer_id AcceptRetryTimer = 0;
   absl::flat_hash_map<caller_connection *, std::unique_ptr<caller_connection>>
       Connections;
-  absl::flat_hash_map<exchange *, std::unique_ptr<exchange>> Adopted;
+  absl::flat_hash_map<exchange *, std::unique_ptr<exchange>> DetachedExchanges;
 };
 
 } // namespace amaranthhoist
--- a/Services/Node/crash_probe.cpp
+++ b/Services/Node/crash_probe.cpp
@@ -12,13 +12,13 @@
 
 namespace amaranthhoist {
 
-/// Servers probed at a time. When more break off at once a whole site or link
-/// is down, and no single request is the reason.
-static constexpr std::size_t MostProbes = 64;
-static constexpr duration ForgetPeriod = std::chrono::seconds(1);
+/// Maximum number of servers probed concurrently. When more connections break,
+/// a whole site or link is down and no single request is the cause.
+static constexpr std::size_t MaxProbes = 64;
+static constexpr duration ExpiryPeriod = std::chrono::seconds(1);
 
-/// One connection that is tried, and the requests that were under way at its
-/// server.
+/// One connection attempt and the contents of the requests that were in flight
+/// at its server.
 class crash_probe::connection_attempt : public retirable, private stream_owner {
 public:
   connection_attempt(crash_probe &Probe, const target &Target)
@@ -28,14 +28,14 @@
         Stream(Loop, *this) {}
   ~connection_attempt() override { Loop.cancel(Timer); }
 
-  /// False when the connection fails at once.
+  /// Returns false when the connection fails immediately.
   [[nodiscard]] bool begin(const std::string &Address) {
     const auto Endpoint = parseEndpoint(Address);
-    const auto Descriptor = Endpoint ? connectTo(*Endpoint, ConnectTime)
+    const auto Descriptor = Endpoint ? connectTo(*Endpoint, ConnectTimeout)
                                      : tl::unexpected(Endpoint.error());
     if (!Descriptor || !Stream.open(*Descriptor, /*IsConnected=*/false))
       return false;
-    Timer = Loop.after(ConnectTime, [this] {
+    Timer = Loop.after(ConnectTimeout, [this] {
       Timer = 0;
       finish(/*IsAlive=*/false);
     });
@@ -61,7 +61,7 @@
   void finish(bool IsAlive) {
     Stream.close();
     Loop.cancel(Timer);
-    Probe.end(Serial, IsAlive);
+    Probe.finishAttempt(Serial, IsAlive);
   }
 
   crash_probe &Probe;
@@ -75,7 +75,7 @@
 };
 
 crash_probe::crash_probe(node &Node) : Node(Node) {
-  Node.Loop.every(ForgetPeriod, [&Node] {
+  Node.Loop.every(ExpiryPeriod, [&Node] {
     forgetOldRecords(Node.Steering.Quarantine, Node.Loop.now());
   });
   Node.Metrics.gauge("amaranthhoist_quarantined_contents", [&Node] {
@@ -88,13 +88,14 @@
 
 crash_probe::~crash_probe() = default;
 
-void crash_probe::noteBroken(const target &Target, std::uint64_t Content) {
+void crash_probe::onConnectionBroken(const target &Target,
+                                     std::uint64_t Content) {
   auto Found = Attempts.find(Target.Serial);
   if (Found != Attempts.end()) {
     Found->second->add(Content);
     return;
   }
-  if (Attempts.size() >= MostProbes) {
+  if (Attempts.size() >= MaxProbes) {
     Node.Metrics.count("amaranthhoist_crash_probes_left_out_total");
     return;
   }
@@ -103,23 +104,23 @@
   const bool HasBegun = Attempt->begin(Target.Entry.Address);
   Attempts.emplace(Target.Serial, std::move(Attempt));
   if (!HasBegun)
-    end(Target.Serial, /*IsAlive=*/false);
+    finishAttempt(Target.Serial, /*IsAlive=*/false);
 }
 
-void crash_probe::end(std::uint64_t Serial, bool IsAlive) {
+void crash_probe::finishAttempt(std::uint64_t Serial, bool IsAlive) {
   auto Found = Attempts.find(Serial);
   if (Found == Attempts.end())
     return;
   std::unique_ptr<connection_attempt> Attempt = std::move(Found->second);
   Attempts.erase(Found);
   if (!IsAlive)
-    takeCrash(*Attempt);
+    recordServerCrash(*Attempt);
   Node.Metrics.count(IsAlive ? "amaranthhoist_answers_lost_total"
                              : "amaranthhoist_servers_crashed_total");
   Node.Retired.push_back(std::move(Attempt));
 }
 
-void crash_probe::takeCrash(const connection_attempt &Attempt) {
+void crash_probe::recordServerCrash(const connection_attempt &Attempt) {
   std::string Names;
   for (std::uint64_t Content : Attempt.contents()) {
     append(Names, Names.empty() ? "" : ",", contentName(Content));
--- a/Services/Node/crash_probe.h
+++ b/Services/Node/crash_probe.h
@@ -1,6 +1,6 @@
-/// Tells a backend server that crashed under a request from one that lost an
-/// answer. At the moment at which a connection breaks off both look alike; a
-/// new connection is refused by the one and accepted by the other.
+/// Distinguishes a backend server that crashed during a request from one whose
+/// response was lost. When a connection breaks both look alike, but a crashed
+/// server refuses a new connection and a running one accepts it.
 #pragma once
 
 #include "node.h"
@@ -16,17 +16,17 @@
   explicit crash_probe(node &Node);
   ~crash_probe();
 
-  /// A connection to \p Target broke off while a request with that content was
-  /// there.
-  void noteBroken(const target &Target, std::uint64_t Content);
+  /// Called when a connection to \p Target broke while a request with that
+  /// content was in flight.
+  void onConnectionBroken(const target &Target, std::uint64_t Content);
 
 private:
   class connection_attempt;
-  void end(std::uint64_t Serial, bool IsAlive);
-  void takeCrash(const connection_attempt &Attempt);
+  void finishAttempt(std::uint64_t Serial, bool IsAlive);
+  void recordServerCrash(const connection_attempt &Attempt);
 
   node &Node;
-  /// By the server's serial.
+  /// Keyed by the server's serial.
   absl::flat_hash_map<std::uint64_t, std::unique_ptr<connection_attempt>>
       Attempts;
 };
--- a/Services/Node/exchange.cpp
+++ b/Services/Node/exchange.cpp
@@ -5,19 +5,19 @@
 
 namespace amaranthhoist {
 
-/// A server ends its work at the deadline it was told and says so itself; its
-/// answer is awaited this much longer before this node answers instead.
+/// A server stops at the deadline it was given and reports that itself. Its
+/// response is awaited this much longer before this node responds instead.
 static constexpr duration DeadlineGrace = std::chrono::milliseconds(120);
-/// Servers that may be found unreachable before a request is refused: each
-/// costs the caller up to ConnectTime.
-static constexpr int MostUnreachable = 3;
-/// A server that asks for more is asked again after this long: a wrong number
-/// must not shut it out for the rest of its life.
-static constexpr duration LongestRest = std::chrono::hours(1);
-/// A request that meets a node which is still learning is tried again this
-/// often: short against the objectives, and few wake-ups in the time that the
-/// lists take.
-static constexpr duration LearnCheck = std::chrono::milliseconds(10);
+/// Maximum number of unreachable servers before a request is refused. Each
+/// costs the caller up to ConnectTimeout.
+static constexpr int MaxUnreachableTargets = 3;
+/// Upper bound of a server's Retry-After, so that a wrong value does not
+/// exclude the server for the rest of its lifetime.
+static constexpr duration MaxRetryAfter = std::chrono::hours(1);
+/// Interval at which a request that arrives during bootstrap is tried again:
+/// short compared to the latency objectives, and few wake-ups while the lists
+/// are fetched.
+static constexpr duration BootstrapCheckPeriod = std::chrono::milliseconds(10);
 
 exchange::exchange(node &Node, target_pool &Pool, exchange_caller &Caller,
                    caller_request InitialRequest)
@@ -28,31 +28,32 @@
 exchange::~exchange() {
   Node.Loop.cancel(DeadlineTimer);
   Node.Loop.cancel(ConnectTimer);
-  Node.Loop.cancel(LearnTimer);
+  Node.Loop.cancel(BootstrapTimer);
   if (Target)
     noteResult(Node.Steering.Targets, *Target, attempt_result::Cancelled,
                duration::zero(), Node.Loop.now());
 }
 
-void exchange::begin() {
-  if (Node.refusesRequests()) {
+void exchange::start() {
+  if (Node.refusesNewRequests()) {
     refuse(refusal::Leaving);
     return;
   }
-  if (Node.isLearning()) {
-    // Refused, it would come back after a quarter of a second at the earliest.
-    LearnTimer = Node.Loop.after(LearnCheck, [this] {
-      LearnTimer = 0;
-      begin();
+  if (Node.isBootstrapping()) {
+    // A refused request would be retried after a quarter of a second at the
+    // earliest.
+    BootstrapTimer = Node.Loop.after(BootstrapCheckPeriod, [this] {
+      BootstrapTimer = 0;
+      start();
     });
     return;
   }
-  place();
+  planAndSend();
 }
 
-void exchange::place() {
+void exchange::planAndSend() {
   const request_facts Facts{Request.Host,   Request.path(),   Request.ObjectKey,
-                            Request.Id,     Request.TimeLeft, Request.Arrived,
+                            Request.Id,     Request.TimeLeft, Request.ArrivedAt,
                             Request.Content};
   auto Planned = planRequest(Node.Steering, Facts);
   if (!Planned) {
@@ -64,16 +65,16 @@
   DeadlineTimer =
       Node.Loop.after(Plan.Deadline - Node.Loop.now() + DeadlineGrace,
                       [this] { onDeadline(); });
-  next();
+  attemptNext();
 }
 
-void exchange::next() {
+void exchange::attemptNext() {
   auto Chosen = chooseTarget(Node.Steering, Plan, Node.Loop.now());
   if (!Chosen) {
     refuse(Chosen.error());
     return;
   }
-  attempt(**Chosen);
+  startAttempt(**Chosen);
 }
 
 std::string exchange::encodeRequest(const target &Target) const {
@@ -91,14 +92,14 @@
   return Text;
 }
 
-void exchange::attempt(target &Chosen) {
+void exchange::startAttempt(target &Chosen) {
   Target = &Chosen;
-  AttemptBegan = Node.Loop.now();
-  HasAnswerHead = false;
+  AttemptStartedAt = Node.Loop.now();
+  HasResponseHead = false;
   ServerDidNotRun = false;
-  beginAttempt(Node.Steering, Plan, Chosen, AttemptBegan);
-  Attempts.push_back({Chosen.Entry.Id, AttemptBegan, {}, {}});
-  Connection = Pool.take(Chosen, Plan.Class);
+  beginAttempt(Node.Steering, Plan, Chosen, AttemptStartedAt);
+  Attempts.push_back({Chosen.Entry.Id, AttemptStartedAt, {}, {}});
+  Connection = Pool.acquire(Chosen, Plan.Class);
   const bool IsRepeat = Attempts.size() > 1;
   Node.Metrics.countAttempt({Chosen.Region, Connection != nullptr, IsRepeat});
   Node.Log.write(log_kind::Attempt, "sent",
@@ -106,20 +107,21 @@
                   {"content", ContentName},
                   {"server", Chosen.Entry.Id},
                   {"region", Chosen.Region},
-                  {"load", estimatedLoad(Chosen, AttemptBegan)},
+                  {"load", estimatedLoad(Chosen, AttemptStartedAt)},
                   {"kept_connection", Connection != nullptr},
                   {"repeat", IsRepeat},
                   {"version", configurationVersion(Node)},
                   {"left_us", static_cast<std::int64_t>(
-                                  (Plan.Deadline - AttemptBegan).count())}},
-                 AttemptBegan);
+                                  (Plan.Deadline - AttemptStartedAt).count())}},
+                 AttemptStartedAt);
   if (!Connection) {
-    Connection = Pool.open(Chosen);
+    Connection = Pool.connect(Chosen);
     if (!Connection) {
       onFailure({.NotConnected = true});
       return;
     }
-    ConnectTimer = Node.Loop.after(ConnectTime, [this] { onConnectTimeout(); });
+    ConnectTimer =
+        Node.Loop.after(ConnectTimeout, [this] { onConnectTimeout(); });
   }
   Connection->call(*this, encodeRequest(Chosen), Request.Method == "HEAD");
 }
@@ -129,13 +131,13 @@
   retireConnection(Node, Connection);
 }
 
-void exchange::endAttempt(attempt_result Result) {
+void exchange::finishAttempt(attempt_result Result) {
   if (!Target)
     return;
-  const duration Took = Node.Loop.now() - AttemptBegan;
-  noteResult(Node.Steering.Targets, *Target, Result, Took, Node.Loop.now());
-  Attempts.back().Took = Took;
-  Attempts.back().Ended = toString(Result);
+  const duration Elapsed = Node.Loop.now() - AttemptStartedAt;
+  noteResult(Node.Steering.Targets, *Target, Result, Elapsed, Node.Loop.now());
+  Attempts.back().Elapsed = Elapsed;
+  Attempts.back().Outcome = toString(Result);
   Target = nullptr;
 }
 
@@ -146,31 +148,32 @@
   onFailure({.NotConnected = true});
 }
 
-void exchange::takeAnswerHead(const message_head &Head) {
+void exchange::storeResponseHead(const message_head &Head) {
   Status = Head.status();
-  AnswerFields.clear();
+  ResponseFields.clear();
   for (std::size_t Index = 0; Index < Head.fieldCount(); ++Index) {
     const auto Field = Head.fieldAt(Index);
     const bool IsLength = equalsIgnoringCase(Field.Name, "content-length");
     if (isHopByHop(Field.Name) || isNamedByConnection(Head, Field.Name) ||
         (IsLength && Request.Method != "HEAD"))
       continue;
-    appendField(AnswerFields, Field.Name, Field.Value);
+    appendField(ResponseFields, Field.Name, Field.Value);
   }
 }
 
-/// How long a server that turned a request away wants none from this node.
-static std::optional<duration> restOf(const message_head &Head) {
+/// Returns the backoff that a server requests from this node with a 503 and
+/// Retry-After.
+static std::optional<duration> requestedBackoff(const message_head &Head) {
   const auto Seconds =
       Head.status() == 503 ? retryAfterSeconds(Head) : std::nullopt;
   if (!Seconds)
     return std::nullopt;
-  constexpr double Most = LongestRest.count() / 1e6;
+  constexpr double Most = MaxRetryAfter.count() / 1e6;
   return duration(static_cast<std::int64_t>(std::min(*Seconds, Most) * 1e6));
 }
 
-void exchange::takeServerState(const message_head &Head) {
-  // Another server's answer: it says nothing of the one that was meant.
+void exchange::applyServerState(const message_head &Head) {
+  // A 421 comes from another server and says nothing about the intended one.
   if (Head.status() == 421)
     return;
   const instant Now = Node.Loop.now();
@@ -179,7 +182,7 @@
     Node.Log.write(log_kind::Belief, "server_says_it_leaves",
                    {{"server", Target->Entry.Id}}, Now);
   }
-  if (const auto Rest = restOf(Head)) {
+  if (const auto Rest = requestedBackoff(Head)) {
     noteRest(Node.Steering.Targets, *Target, Now + *Rest);
     Node.Log.write(log_kind::Belief, "server_rests",
                    {{"server", Target->Entry.Id},
@@ -191,24 +194,24 @@
 
 bool exchange::onHead(const message_head &Head) {
   const auto Id = Head.find(Node.Wire.RequestId);
-  // A late answer to an earlier request on this connection.
+  // This is a late response to an earlier request on this connection.
   if (Id && *Id != Request.Id)
     return false;
   Node.Loop.cancel(ConnectTimer);
-  HasAnswerHead = true;
+  HasResponseHead = true;
   if (const auto Load = Head.find(Node.Wire.Load))
     if (const auto Decoded = Node.Wire.DecodeLoad(*Load))
       noteServerLoad(Node.Steering, *Target, *Decoded, Node.Loop.now());
-  takeServerState(Head);
+  applyServerState(Head);
   ServerDidNotRun =
       Head.find(Node.Wire.NotRun).has_value() || Head.status() == 421;
   const bool ClaimsSuccess = Head.status() / 100 == 2;
   if (ClaimsSuccess && (!Id || !Head.find(Node.Wire.Signature).has_value())) {
-    // Not what the server made: nothing of it may reach the caller.
+    // The response was not made by the server and must not reach the caller.
     onFailure({.HadAnswer = true, .Garbled = true});
     return true;
   }
-  takeAnswerHead(Head);
+  storeResponseHead(Head);
   return true;
 }
 
@@ -216,14 +219,15 @@
   const bool WasReplaced = Status == 421;
   ++Plan.Arrivals;
   if (Connection->isReusable())
-    Pool.put(*Target, std::move(Connection));
+    Pool.release(*Target, std::move(Connection));
   else
     dropConnection();
   Node.Loop.cancel(ConnectTimer);
   if (ServerDidNotRun) {
     Plan.Tried.push_back(Target->Entry.Id);
-    endAttempt(WasReplaced ? attempt_result::Replaced : attempt_result::Shed);
-    repeatOrEnd();
+    finishAttempt(WasReplaced ? attempt_result::Replaced
+                              : attempt_result::Shed);
+    retryOrFinish();
     return;
   }
   Plan.MayHaveRun = true;
@@ -232,20 +236,20 @@
     logQuarantine(Node, noteSoundAnswer(Node.Steering.Quarantine, Plan.Content,
                                         Node.Loop.now()));
   const std::string Id = Target->Entry.Id;
-  endAttempt(ServerFailed && Status != 504 ? attempt_result::Failed
-                                           : attempt_result::Answered);
+  finishAttempt(ServerFailed && Status != 504 ? attempt_result::Failed
+                                              : attempt_result::Answered);
   if (ServerFailed && Caller && !IsStreaming &&
       Plan.Class == work_class::Idempotent) {
     Plan.Tried.push_back(Id);
     if (chooseTarget(Node.Steering, Plan, Node.Loop.now()) &&
         mayRepeat(Node.Steering, Plan, Node.Loop.now())) {
       log(log_kind::Trouble, "repeat", "server_error", Status);
-      Held.clear();
-      next();
+      BufferedBody.clear();
+      attemptNext();
       return;
     }
   }
-  deliver();
+  finishResponse();
 }
 
 void exchange::onFailure(const call_failure &Failure) {
@@ -255,41 +259,41 @@
   const std::string Id = Target->Entry.Id;
   const attempt_result Result = resultOf({Failure.NotConnected, Failure.WasKept,
                                           Failure.HadAnswer || Failure.Garbled,
-                                          Node.Loop.now() - AttemptBegan});
+                                          Node.Loop.now() - AttemptStartedAt});
   if (Result != attempt_result::Unreachable) {
     ++Plan.Arrivals;
     Plan.MayHaveRun = true;
-    Pool.noteBroken(*Target, Request.Content);
+    Pool.onConnectionBroken(*Target, Request.Content);
   }
-  endAttempt(Result);
+  finishAttempt(Result);
   if (Result != attempt_result::Cancelled)
     Plan.Tried.push_back(Id);
-  repeatOrEnd();
+  retryOrFinish();
 }
 
-void exchange::repeatOrEnd() {
+void exchange::retryOrFinish() {
   if (!Caller) {
-    over();
+    finish();
     return;
   }
   if (IsStreaming) {
     log(log_kind::Trouble, "answer_cut", "server_broke_off", Status);
-    Caller->cutShort();
-    over();
+    Caller->abortResponse();
+    finish();
     return;
   }
-  Held.clear();
+  BufferedBody.clear();
   const instant Now = Node.Loop.now();
   const bool TooManyUnreachable =
-      Plan.Attempts - Plan.Arrivals >= MostUnreachable;
+      Plan.Attempts - Plan.Arrivals >= MaxUnreachableTargets;
   auto Chosen = chooseTarget(Node.Steering, Plan, Now);
   if (Chosen && !TooManyUnreachable && mayRepeat(Node.Steering, Plan, Now)) {
     log(log_kind::Trouble, "repeat", "attempt_failed", 0);
-    attempt(**Chosen);
+    startAttempt(**Chosen);
     return;
   }
   if (Plan.MayHaveRun) {
-    answerOwn(502, std::nullopt, "attempt_failed");
+    respondLocally(502, std::nullopt, "attempt_failed");
     return;
   }
   refuse(Chosen ? refusal::NoRepeats : Chosen.error());
@@ -299,51 +303,52 @@
   DeadlineTimer = 0;
   if (!Caller) {
     dropConnection();
-    endAttempt(attempt_result::TimedOut);
-    over();
+    finishAttempt(attempt_result::TimedOut);
+    finish();
     return;
   }
   const bool MayHaveRun =
       Plan.MayHaveRun || (Connection && Connection->isConnected());
   dropConnection();
-  endAttempt(attempt_result::TimedOut);
+  finishAttempt(attempt_result::TimedOut);
   if (IsStreaming) {
     log(log_kind::Trouble, "answer_cut", "deadline", Status);
-    Caller->cutShort();
-    over();
+    Caller->abortResponse();
+    finish();
     return;
   }
   if (MayHaveRun)
-    answerOwn(504, std::nullopt, "deadline");
+    respondLocally(504, std::nullopt, "deadline");
   else
     refuse(refusal::TooLate);
 }
 
-void exchange::goOnAlone(std::function<void()> WhenOver) {
-  OnOver = std::move(WhenOver);
+void exchange::detach(std::function<void()> WhenDone) {
+  OnDone = std::move(WhenDone);
 }
 
-bool exchange::callerLeft() {
+bool exchange::onCallerDisconnected() {
   Caller = nullptr;
   const bool ServerWorks = Connection && Connection->isConnected();
   if (Plan.Class == work_class::NonIdempotent && ServerWorks) {
-    // Stopping it halfway could leave half of its effect; it ends by itself.
+    // Cancelling non-idempotent work could leave a partial effect, so it runs
+    // to its end.
     return false;
   }
   if (Target)
     log(log_kind::Trouble, "cancelled", "caller_left", 0);
   dropConnection();
-  endAttempt(attempt_result::Cancelled);
+  finishAttempt(attempt_result::Cancelled);
   Node.Loop.cancel(DeadlineTimer);
-  Node.Loop.cancel(LearnTimer);
+  Node.Loop.cancel(BootstrapTimer);
   return true;
 }
 
-void exchange::over() {
+void exchange::finish() {
   Node.Loop.cancel(DeadlineTimer);
   Node.Loop.cancel(ConnectTimer);
-  if (OnOver)
-    OnOver();
+  if (OnDone)
+    OnDone();
 }
 
 } // namespace amaranthhoist
--- a/Services/Node/exchange.h
+++ b/Services/Node/exchange.h
@@ -1,6 +1,5 @@
-/// One request of a caller on its way through the node: sends it to a backend
-/// server, passes the answer back, and carries out what Steering decides when
-/// an attempt fails.
+/// Processes one request of a caller: sends it to a backend server, forwards
+/// the response, and applies Steering's decision when an attempt fails.
 #pragma once
 
 #include "HttpConnection/client_connection.h"
@@ -16,50 +15,51 @@
 
 namespace amaranthhoist {
 
-/// A request as it was read from the caller.
+/// A request as read from the caller.
 struct caller_request {
   std::string Id;
   std::string Method;
-  /// Path and query as they were sent.
+  /// Path and query as received.
   std::string Target;
   std::string Host;
   std::string ObjectKey;
-  /// The fields that are passed on, each with its line end.
+  /// The forwarded header fields, each with its line end.
   std::string Fields;
   std::string Body;
-  /// Names what it asks for: the same for each attempt of a caller.
+  /// Fingerprint of the request content; the same for each attempt of a caller.
   std::uint64_t Content = 0;
-  /// Whether a body was sent, be it empty.
+  /// Whether a body was sent, even an empty one.
   bool HasBody = false;
   std::optional<duration> TimeLeft;
-  instant Arrived{};
+  instant ArrivedAt{};
 
-  /// Without its query.
+  /// The request target without its query.
   [[nodiscard]] std::string_view path() const {
     return std::string_view(Target).substr(0, Target.find('?'));
   }
 };
 
-/// The caller's connection, as an exchange uses it.
+/// Interface to the caller's connection.
 class exchange_caller {
 public:
   virtual ~exchange_caller() = default;
-  /// Sends bytes of the answer.
+  /// Sends bytes of the response.
   virtual void send(std::string_view Bytes) = 0;
-  /// Bytes that the caller hasn't taken yet.
-  virtual std::size_t unsent() const = 0;
-  /// Decides whether the connection takes another request after this one; asked
-  /// once, for the answer's head.
-  virtual bool keepsAlive() = 0;
-  /// Whether the caller understands chunks.
-  virtual bool takesChunks() const = 0;
-  /// The answer is whole.
-  virtual void onAnswered() = 0;
-  /// The answer can't be completed: cut the connection so that it shows.
-  virtual void cutShort() = 0;
+  /// Bytes written but not yet accepted by the caller.
+  virtual std::size_t unsentBytes() const = 0;
+  /// Decides whether the connection accepts another request after this one;
+  /// called once, when the response head is built.
+  virtual bool decideKeepAlive() = 0;
+  /// Returns whether the caller supports chunked transfer encoding.
+  virtual bool supportsChunked() const = 0;
+  /// Called when the response is complete.
+  virtual void onResponseComplete() = 0;
+  /// Aborts a response that can't be completed: resets the connection so that
+  /// the caller detects the truncation.
+  virtual void abortResponse() = 0;
 };
 
-/// How an attempt ended, in logs.
+/// Name of an attempt's result in logs.
 std::string_view toString(attempt_result Result);
 
 class exchange : public retirable, private call_owner {
@@ -68,17 +68,20 @@
            caller_request Request);
   ~exchange() override;
 
-  /// Serves the request; calls back when it is over. May be over at once.
-  void begin();
-  /// The caller has gone. True when the exchange is over; otherwise its work
-  /// goes on at a server, and goOnAlone() follows.
-  bool callerLeft();
-  /// \p OnOver is called when the work that goes on has ended.
-  void goOnAlone(std::function<void()> OnOver);
-  /// The caller has taken what waited for it.
-  void callerDrained();
-  /// The process ends before the request does; leaves a last line on it.
-  void noteCutOff();
+  /// Serves the request and notifies the caller interface when it finishes,
+  /// possibly before this call returns.
+  void start();
+  /// Called when the caller disconnects. Returns true when the exchange is
+  /// finished; otherwise its work continues at a server, and the owner must
+  /// call detach().
+  bool onCallerDisconnected();
+  /// Lets the exchange continue without a caller. \p OnDone is called when
+  /// its work has finished.
+  void detach(std::function<void()> OnDone);
+  /// Called when the caller has accepted all bytes written so far.
+  void onCallerDrained();
+  /// Logs a final line for a request that is aborted because the process exits.
+  void logAborted();
 
 private:
   bool onHead(const message_head &Head) override;
@@ -86,73 +89,75 @@
   void onComplete() override;
   void onFailure(const call_failure &Failure) override;
 
-  /// Finds its route and sends it.
-  void place();
-  void next();
-  void attempt(target &Target);
+  /// Finds the request's route and sends it.
+  void planAndSend();
+  void attemptNext();
+  void startAttempt(target &Target);
   std::string encodeRequest(const target &Target) const;
-  void endAttempt(attempt_result Result);
+  void finishAttempt(attempt_result Result);
   void dropConnection();
   void onConnectTimeout();
   void onDeadline();
-  /// After an attempt that failed or was refused: again, or the final answer.
-  void repeatOrEnd();
+  /// Retries after an attempt that failed or was refused, or sends the final
+  /// response.
+  void retryOrFinish();
 
-  void takeAnswerHead(const message_head &Head);
-  /// What the server says of itself, beside the answer.
-  void takeServerState(const message_head &Head);
+  void storeResponseHead(const message_head &Head);
+  /// Applies what the response head reports about the server itself.
+  void applyServerState(const message_head &Head);
   void beginStreaming();
-  void deliver();
+  void finishResponse();
   void refuse(refusal Reason);
-  void answerOwn(int Status, std::optional<duration> RetryAfter,
-                 std::string_view Why);
-  void over();
-  /// Fields of a request's last line; room for those of a refusal.
+  void respondLocally(int Status, std::optional<duration> RetryAfter,
+                      std::string_view Why);
+  void finish();
+  /// Fields of a request's final log line, with room for those of a refusal.
   using log_fields = absl::InlinedVector<log_entry, 20>;
-  /// \p Made: describeAttempts(), which outlives the fields.
-  log_fields finalFields(std::string_view Why, int WithStatus,
-                         std::string_view Made) const;
+  /// \p AttemptsText is the result of describeAttempts() and must outlive the
+  /// fields.
+  log_fields summaryFields(std::string_view Why, int WithStatus,
+                           std::string_view AttemptsText) const;
   void log(log_kind Kind, std::string_view Event, std::string_view Why,
            int Status);
   void logRefusal(std::string_view Why, int Status, duration RetryAfter);
-  /// All attempts as text: server, when it was sent, how it ended, after how
-  /// long. Stands in the final line of a request, whose own lines for each
-  /// attempt are sampled.
+  /// Describes all attempts: server, send time, result, duration. Part of the
+  /// final log line of a request, because the lines for single attempts are
+  /// sampled.
   std::string describeAttempts() const;
 
   node &Node;
   target_pool &Pool;
   exchange_caller *Caller;
   caller_request Request;
-  /// As in the log.
+  /// Name of the content in the log.
   const std::string ContentName;
   request_plan Plan;
   bool HasPlan = false;
   timer_id DeadlineTimer = 0;
   timer_id ConnectTimer = 0;
-  timer_id LearnTimer = 0;
-  std::function<void()> OnOver;
+  timer_id BootstrapTimer = 0;
+  std::function<void()> OnDone;
 
   struct attempt_record {
     std::string Server;
-    instant Began{};
-    duration Took{};
-    /// As in the log; empty while it is under way.
-    std::string_view Ended;
+    instant StartedAt{};
+    duration Elapsed{};
+    /// Result name as in the log; empty while the attempt is in flight.
+    std::string_view Outcome;
   };
   absl::InlinedVector<attempt_record, 2> Attempts;
 
-  // The attempt under way.
+  // The attempt in flight.
   target *Target = nullptr;
   std::unique_ptr<client_connection> Connection;
-  instant AttemptBegan{};
+  instant AttemptStartedAt{};
   bool ServerDidNotRun = false;
 
-  // The answer.
+  // The response.
   int Status = 0;
-  std::string AnswerFields;
-  std::string Held;
-  bool HasAnswerHead = false;
+  std::string ResponseFields;
+  std::string BufferedBody;
+  bool HasResponseHead = false;
   bool IsStreaming = false;
   bool IsChunked = false;
   bool IsReadingPaused = false;
--- a/Services/Node/exchange_answer.cpp
+++ b/Services/Node/exchange_answer.cpp
@@ -1,16 +1,16 @@
-/// The part of an exchange that answers the caller.
+/// The part of an exchange that responds to the caller.
 #include "exchange.h"
 
 #include "Text/text.h"
 
 namespace amaranthhoist {
 
-/// Answers up to this size are held until they are whole, so that one that
-/// breaks off can be fetched again without the caller noticing.
-static constexpr std::size_t HeldAnswer = 65'536;
-/// Unsent bytes at which reading from the server stops, so that a slow caller
-/// costs bounded memory.
-static constexpr std::size_t MostUnsent = 262'144;
+/// Responses up to this size are buffered until complete, so that one whose
+/// connection breaks can be retried without the caller noticing.
+static constexpr std::size_t MaxBufferedResponse = 65'536;
+/// Unsent bytes at which reading from the server pauses, to bound the memory
+/// that a slow caller costs.
+static constexpr std::size_t MaxUnsentBytes = 262'144;
 
 static std::string beginHead(int Status, const std::string &Fields,
                              bool KeepsAlive) {
@@ -24,32 +24,33 @@
 
 void exchange::onBody(std::string &Body) {
   if (Caller && !ServerDidNotRun)
-    Held.append(Body);
+    BufferedBody.append(Body);
   Body.clear();
-  if (Held.empty())
+  if (BufferedBody.empty())
     return;
   if (!IsStreaming) {
-    const bool IsLong = Connection->contentLength().value_or(0) > HeldAnswer ||
-                        Held.size() > HeldAnswer;
+    const bool IsLong =
+        Connection->contentLength().value_or(0) > MaxBufferedResponse ||
+        BufferedBody.size() > MaxBufferedResponse;
     if (!IsLong || Status >= 500)
       return;
     beginStreaming();
   }
   if (IsChunked) {
     std::string Chunk;
-    appendChunk(Chunk, Held);
+    appendChunk(Chunk, BufferedBody);
     Caller->send(Chunk);
   } else {
-    Caller->send(Held);
+    Caller->send(BufferedBody);
   }
-  Held.clear();
-  if (Caller && Caller->unsent() > MostUnsent) {
+  BufferedBody.clear();
+  if (Caller && Caller->unsentBytes() > MaxUnsentBytes) {
     IsReadingPaused = true;
     Connection->pauseReading();
   }
 }
 
-void exchange::callerDrained() {
+void exchange::onCallerDrained() {
   if (!IsReadingPaused || !Connection)
     return;
   IsReadingPaused = false;
@@ -60,7 +61,8 @@
   IsStreaming = true;
   const auto Length = Connection->contentLength();
   IsChunked = !Length.has_value();
-  std::string Head = beginHead(Status, AnswerFields, Caller->keepsAlive());
+  std::string Head =
+      beginHead(Status, ResponseFields, Caller->decideKeepAlive());
   if (IsChunked)
     appendField(Head, "Transfer-Encoding", "chunked");
   else
@@ -69,29 +71,31 @@
   Caller->send(Head);
 }
 
-void exchange::deliver() {
+void exchange::finishResponse() {
   if (Caller && IsStreaming && IsChunked) {
     std::string Last;
     appendLastChunk(Last);
     Caller->send(Last);
   } else if (Caller && !IsStreaming) {
-    std::string Text = beginHead(Status, AnswerFields, Caller->keepsAlive());
-    // The answer to a HEAD request tells a length that doesn't follow.
+    std::string Text =
+        beginHead(Status, ResponseFields, Caller->decideKeepAlive());
+    // The response to a HEAD request has a content length without a body.
     const bool HasNoBody =
         Status == 204 || Status == 304 || Request.Method == "HEAD";
     if (!HasNoBody)
-      appendField(Text, "Content-Length", cat(Held.size()));
-    append(Text, "\r\n", Held);
+      appendField(Text, "Content-Length", cat(BufferedBody.size()));
+    append(Text, "\r\n", BufferedBody);
     Caller->send(Text);
   }
-  const duration Took = Node.Loop.now() - Request.Arrived;
+  const duration Elapsed = Node.Loop.now() - Request.ArrivedAt;
   Node.Metrics.observeLatency(
-      {Request.Host, Plan.Service, Status < 500 ? "answered" : "failed"}, Took);
+      {Request.Host, Plan.Service, Status < 500 ? "answered" : "failed"},
+      Elapsed);
   log(Status < 500 ? log_kind::Success : log_kind::Trouble, "answered",
       "server", Status);
   if (Caller)
-    Caller->onAnswered();
-  over();
+    Caller->onResponseComplete();
+  finish();
 }
 
 static int statusOf(refusal Reason) {
@@ -107,35 +111,35 @@
     Return =
         retryAfter(Node.Steering, Plan, Reason, Request.Id, Node.Loop.now());
   }
-  answerOwn(statusOf(Reason), Return, toString(Reason));
+  respondLocally(statusOf(Reason), Return, toString(Reason));
 }
 
-/// Seconds with three decimals at most.
+/// Formats a duration in seconds with at most three decimals.
 static std::string inSeconds(duration Time) {
   const std::int64_t Milliseconds = Time.count() / 1'000;
   return cat(static_cast<double>(Milliseconds) / 1e3);
 }
 
-void exchange::answerOwn(int OwnStatus, std::optional<duration> RetryAfter,
-                         std::string_view Why) {
+void exchange::respondLocally(int OwnStatus, std::optional<duration> RetryAfter,
+                              std::string_view Why) {
   if (OwnStatus == 503)
     logRefusal(Why, OwnStatus, RetryAfter.value_or(duration::zero()));
   else
     log(log_kind::Trouble, "gave_up", Why, OwnStatus);
   Node.Metrics.observeLatency({Request.Host, Plan.Service, std::string(Why)},
-                              Node.Loop.now() - Request.Arrived);
+                              Node.Loop.now() - Request.ArrivedAt);
   if (Caller) {
     std::string Fields;
     appendField(Fields, Node.Wire.RequestId, Request.Id);
     if (RetryAfter)
       appendField(Fields, "Retry-After", inSeconds(*RetryAfter));
-    std::string Text = beginHead(OwnStatus, Fields, Caller->keepsAlive());
+    std::string Text = beginHead(OwnStatus, Fields, Caller->decideKeepAlive());
     appendField(Text, "Content-Length", "0");
     Text.append("\r\n");
     Caller->send(Text);
-    Caller->onAnswered();
+    Caller->onResponseComplete();
   }
-  over();
+  finish();
 }
 
 } // namespace amaranthhoist
--- a/Services/Node/exchange_log.cpp
+++ b/Services/Node/exchange_log.cpp
@@ -1,4 +1,4 @@
-/// The part of an exchange that tells what was decided, and by what.
+/// The part of an exchange that logs decisions and their inputs.
 #include "exchange.h"
 
 #include "Text/text.h"
@@ -30,28 +30,29 @@
 std::string exchange::describeAttempts() const {
   std::string Text;
   for (const attempt_record &Attempt : Attempts) {
-    const bool IsUnderWay = Attempt.Ended.empty();
-    const duration Took =
-        IsUnderWay ? Node.Loop.now() - Attempt.Began : Attempt.Took;
+    const bool IsInFlight = Attempt.Outcome.empty();
+    const duration Elapsed =
+        IsInFlight ? Node.Loop.now() - Attempt.StartedAt : Attempt.Elapsed;
     append(Text, Text.empty() ? "" : "; ", Attempt.Server, " +",
-           (Attempt.Began - Request.Arrived).count() / 1'000, "ms ",
-           IsUnderWay ? "under_way" : Attempt.Ended, " after ",
-           Took.count() / 1'000, "ms");
+           (Attempt.StartedAt - Request.ArrivedAt).count() / 1'000, "ms ",
+           IsInFlight ? "under_way" : Attempt.Outcome, " after ",
+           Elapsed.count() / 1'000, "ms");
   }
   return Text;
 }
 
-exchange::log_fields exchange::finalFields(std::string_view Why, int WithStatus,
-                                           std::string_view Made) const {
+exchange::log_fields
+exchange::summaryFields(std::string_view Why, int WithStatus,
+                        std::string_view AttemptsText) const {
   const instant Now = Node.Loop.now();
   return {{"request", Request.Id},
           {"content", ContentName},
           {"service", Plan.Service},
           {"why", Why},
           {"status", static_cast<std::int64_t>(WithStatus)},
-          {"attempts", Made},
+          {"attempts", AttemptsText},
           {"version", configurationVersion(Node)},
-          {"took_us", inMicroseconds(Now - Request.Arrived)},
+          {"took_us", inMicroseconds(Now - Request.ArrivedAt)},
           {"left_us", inMicroseconds(Plan.Deadline - Now)}};
 }
 
@@ -60,11 +61,12 @@
   const instant Now = Node.Loop.now();
   if (!Node.Log.wouldWrite(Kind, Now))
     return;
-  const std::string Made = describeAttempts();
-  Node.Log.write(Kind, Event, finalFields(Why, WithStatus, Made), Now);
+  const std::string AttemptsText = describeAttempts();
+  Node.Log.write(Kind, Event, summaryFields(Why, WithStatus, AttemptsText),
+                 Now);
 }
 
-/// Age of the load report that a place was weighed by; -1: none came yet.
+/// Age of the load report that a candidate was weighed by; -1 if there is none.
 static std::int64_t reportAge(const weighed_place &Place, instant Now) {
   if (!Place.Target || !Place.Target->HasReport)
     return -1;
@@ -85,8 +87,8 @@
       HasPlan ? weighPlaces(Node.Steering, Plan, Now) : weighed_places();
   const weighed_place &First = Weighed.Places[0];
   const weighed_place &Second = Weighed.Places[1];
-  const std::string Made = describeAttempts();
-  log_fields Fields = finalFields(Why, WithStatus, Made);
+  const std::string AttemptsText = describeAttempts();
+  log_fields Fields = summaryFields(Why, WithStatus, AttemptsText);
   Fields.insert(Fields.end(),
                 {{"retry_after_us", inMicroseconds(RetryAfter)},
                  {"longest_wait_us", inMicroseconds(First.LongestWait)},
@@ -102,7 +104,7 @@
   Node.Log.write(log_kind::Trouble, "refused", Fields, Now);
 }
 
-void exchange::noteCutOff() {
+void exchange::logAborted() {
   log(log_kind::Trouble, Caller ? "answer_cut" : "left_running",
       "process_ended", Status);
 }
--- a/Services/Node/kind_follower.cpp
+++ b/Services/Node/kind_follower.cpp
@@ -4,39 +4,40 @@
 
 namespace amaranthhoist {
 
-/// The longest that a watch waits at the store. A store that is silent for less
-/// than the time between two probes may forget a watch unnoticed; the node is
-/// blind until the watch times out, which has to be over within the 6.5 s in
-/// which nodes are allowed to settle after trouble. Each call costs.
+/// Maximum time a watch waits at the store. A store that is unresponsive for
+/// less than the time between two probes may drop a watch undetected. The node
+/// then misses changes until the watch times out, which must happen within the
+/// 6.5 s in which nodes may settle after an outage. Each call has a cost.
 static constexpr duration WatchWait = std::chrono::seconds(4);
-/// Instances are known from each other's probes as well.
+/// Instances are also tracked by the probes between them.
 static constexpr duration InstanceWatchWait = std::chrono::seconds(15);
-/// Longer than the store's slowest answers while it is in trouble.
-static constexpr duration ListTime = std::chrono::milliseconds(1'500);
-/// Between the list and the first watch: a node that needn't watch stops
-/// before it.
-static constexpr duration AfterList = std::chrono::milliseconds(250);
-/// For an answer to come back after the store's wait.
+/// Longer than the store's slowest responses during an outage.
+static constexpr duration ListTimeout = std::chrono::milliseconds(1'500);
+/// Delay between the list and the first watch: a node that does not have to
+/// watch stops before it.
+static constexpr duration DelayAfterList = std::chrono::milliseconds(250);
+/// Time for a response to arrive after the store's wait.
 static constexpr duration WatchMargin = std::chrono::milliseconds(1'000);
 
-kind_follower::kind_follower(node &Node, beliefs &Beliefs, object_kind Kind,
-                             std::function<void()> Failed)
-    : Node(Node), Beliefs(Beliefs), Kind(Kind), Failed(std::move(Failed)),
-      Caller(Node, Node.Settings.Store) {}
+kind_follower::kind_follower(node &Node, replicated_state &State,
+                             object_kind Kind, std::function<void()> OnFailure)
+    : Node(Node), State(State), Kind(Kind), OnFailure(std::move(OnFailure)),
+      Connection(Node, Node.Settings.Store) {}
 
 kind_follower::~kind_follower() { stop(); }
 
 void kind_follower::startOrRestart() {
   if (IsRunning) {
-    if (Caller.abandon()) {
+    if (Connection.abandon()) {
       listAnew(Watch);
       step();
     }
     return;
   }
   IsRunning = true;
-  // What came from others meanwhile needn't be asked for again.
-  const auto &Known = Beliefs.cache().Kinds[static_cast<std::size_t>(Kind)];
+  // State received from peers in the meantime does not have to be fetched
+  // again.
+  const auto &Known = State.cache().Kinds[static_cast<std::size_t>(Kind)];
   if (MustList) {
     listAnew(Watch);
     MustList = false;
@@ -50,7 +51,7 @@
 void kind_follower::stop() {
   IsRunning = false;
   Node.Loop.cancel(NextStep);
-  Caller.abandon();
+  Connection.abandon();
 }
 
 void kind_follower::pause() {
@@ -61,44 +62,46 @@
 void kind_follower::step() {
   const store_request Request = nextRequest(Watch);
   const bool IsWatch = Request.Verb == store_verb::Watch;
-  const duration Wait =
+  const duration WatchTime =
       Kind == object_kind::Instance ? InstanceWatchWait : WatchWait;
-  Caller.call(
-      "GET", platform::encodeRequestPath(Kind, Request, Wait), {},
-      IsWatch ? Wait + WatchMargin : ListTime,
-      [this, IsWatch](const store_answer &Answer) { take(Answer, IsWatch); });
+  Connection.call("GET", platform::encodeRequestPath(Kind, Request, WatchTime),
+                  {}, IsWatch ? WatchTime + WatchMargin : ListTimeout,
+                  [this, IsWatch](const store_response &Response) {
+                    handleResponse(Response, IsWatch);
+                  });
 }
 
 void kind_follower::stepAfter(duration Delay) {
-  // Never straight on: the caller is still at the end of its last call.
+  // Never called directly: the connection is still finishing its last call.
   NextStep = Node.Loop.after(Delay, [this] {
     NextStep = 0;
     step();
   });
 }
 
-void kind_follower::take(const store_answer &Answer, bool IsWatch) {
-  if (Answer.Status == 410)
+void kind_follower::handleResponse(const store_response &Response,
+                                   bool IsWatch) {
+  if (Response.Status == 410)
     return retry(store_failure::HistoryGone);
-  if (Answer.Status == 429 || Answer.Status == 503)
+  if (Response.Status == 429 || Response.Status == 503)
     return retry(store_failure::Refused);
-  if (Answer.Status == 0)
+  if (Response.Status == 0)
     return retry(store_failure::Silent);
-  if (Answer.Status != 200)
+  if (Response.Status != 200)
     return retry(store_failure::Garbled);
   const bool IsSound =
-      IsWatch ? takeBatchFrom(Answer.Body) : takePageFrom(Answer.Body);
+      IsWatch ? handleBatch(Response.Body) : handlePage(Response.Body);
   if (!IsSound)
     return retry(store_failure::Garbled);
-  noteAnswered();
-  stepAfter(Wait);
+  onStoreResponse();
+  stepAfter(NextDelay);
 }
 
-bool kind_follower::takePageFrom(std::string_view Body) {
+bool kind_follower::handlePage(std::string_view Body) {
   auto Page = platform::decodePage(Body);
   if (!Page)
     return false;
-  Wait = AfterList;
+  NextDelay = DelayAfterList;
   auto *All = takePage(Watch, std::move(*Page));
   if (!All)
     return true;
@@ -107,42 +110,42 @@
     Changes.Changes.push_back({std::move(Object.Name), false, Object.Revision,
                                std::move(Object.Text)});
   All->clear();
-  Beliefs.take(std::move(Changes));
+  State.update(std::move(Changes));
   return true;
 }
 
-bool kind_follower::takeBatchFrom(std::string_view Body) {
+bool kind_follower::handleBatch(std::string_view Body) {
   auto Batch = platform::decodeBatch(Body);
   if (!Batch)
     return false;
-  Wait = takeBatch(Watch, *Batch);
+  NextDelay = takeBatch(Watch, *Batch);
   kind_changes Changes{Kind, Watch.Revision, /*IsFull=*/false, {}};
   for (stored_change &Change : Batch->Changes)
     Changes.Changes.push_back(
         {std::move(Change.Object.Name), Change.IsDeleted,
          Change.Object.Revision,
          Change.IsDeleted ? std::string() : std::move(Change.Object.Text)});
-  Beliefs.take(std::move(Changes));
+  State.update(std::move(Changes));
   return true;
 }
 
-void kind_follower::noteAnswered() {
-  if (IsAway)
+void kind_follower::onStoreResponse() {
+  if (IsStoreLost)
     Node.Log.write(log_kind::Belief, "store_regained",
                    {{"kind", platform::encodeKind(Kind)}}, Node.Loop.now());
-  IsAway = false;
+  IsStoreLost = false;
 }
 
 void kind_follower::retry(store_failure Failure) {
   const duration Delay = takeFailure(Watch, Failure);
   if (Failure != store_failure::HistoryGone) {
-    if (!IsAway)
+    if (!IsStoreLost)
       Node.Log.write(log_kind::Belief, "store_lost",
                      {{"kind", platform::encodeKind(Kind)},
                       {"failure", static_cast<std::int64_t>(Failure)}},
                      Node.Loop.now());
-    IsAway = true;
-    Failed();
+    IsStoreLost = true;
+    OnFailure();
   }
   stepAfter(Delay);
 }
--- a/Services/Node/kind_follower.h
+++ b/Services/Node/kind_follower.h
@@ -1,4 +1,4 @@
-/// Follows one kind of object in the platform's store.
+/// Lists and watches one kind of object in the platform's store.
 #pragma once
 
 #include "ObjectCache/object_cache.h"
@@ -14,40 +14,40 @@
 
 class kind_follower {
 public:
-  /// \p Failed is called when the store doesn't answer a call.
-  kind_follower(node &Node, beliefs &Beliefs, object_kind Kind,
-                std::function<void()> Failed);
+  /// \p OnFailure is called when the store does not respond to a call.
+  kind_follower(node &Node, replicated_state &State, object_kind Kind,
+                std::function<void()> OnFailure);
   ~kind_follower();
 
-  /// Begins, goes on after stop(), or makes the call under way anew: the store
-  /// may have forgotten it without a sign on its connection.
+  /// Starts, continues after stop(), or restarts the call in flight: the store
+  /// may have dropped it without closing its connection.
   void startOrRestart();
-  /// Makes no more calls until startOrRestart().
+  /// Stops making calls until startOrRestart().
   void stop();
-  /// Likewise, as the store is silent: it may forget what waits there, so that
-  /// the next call is a list.
+  /// Stops like stop(), because the store does not respond. The store may drop
+  /// its pending watches, so the next call is a list.
   void pause();
 
 private:
   void step();
   void stepAfter(duration Delay);
-  void take(const store_answer &Answer, bool IsWatch);
-  bool takePageFrom(std::string_view Body);
-  bool takeBatchFrom(std::string_view Body);
+  void handleResponse(const store_response &Response, bool IsWatch);
+  bool handlePage(std::string_view Body);
+  bool handleBatch(std::string_view Body);
   void retry(store_failure Failure);
-  void noteAnswered();
+  void onStoreResponse();
 
   node &Node;
-  beliefs &Beliefs;
+  replicated_state &State;
   object_kind Kind;
-  std::function<void()> Failed;
-  store_caller Caller;
+  std::function<void()> OnFailure;
+  store_connection Connection;
   list_watch Watch;
   timer_id NextStep = 0;
-  duration Wait{};
+  duration NextDelay{};
   bool IsRunning = false;
   bool MustList = false;
-  bool IsAway = false;
+  bool IsStoreLost = false;
 };
 
 } // namespace amaranthhoist
--- a/Services/Node/learner.cpp
+++ b/Services/Node/learner.cpp
@@ -7,19 +7,20 @@
 
 namespace amaranthhoist {
 
-/// A new instance looks this often for somebody to ask: an address that was
-/// heard waits half of it, less than the trip to the nearest peer's answer on a
-/// small machine.
+/// Interval at which a new instance looks for a source to ask. An announced
+/// address waits half of it on average, less than the response of the nearest
+/// peer takes on a small machine.
 static constexpr duration TickPeriod = std::chrono::milliseconds(20);
-/// Silence after which another instance is asked: three trips between regions
-/// and back (70 ms) and the pause of a small machine that packs its lists.
-static constexpr duration AskTime = std::chrono::milliseconds(500);
+/// Time without a response after which another instance is asked: three round
+/// trips between regions (70 ms) and the pause of a small machine that packs
+/// its lists.
+static constexpr duration StateRequestTimeout = std::chrono::milliseconds(500);
 
-learner::learner(node &Node, beliefs &Beliefs)
-    : Node(Node), Beliefs(Beliefs), HeardCaller(Node, {}),
-      SeedCaller(Node, {}) {}
+state_bootstrap::state_bootstrap(node &Node, replicated_state &State)
+    : Node(Node), State(State), AnnouncedConnection(Node, {}),
+      SeedConnection(Node, {}) {}
 
-void learner::start() {
+void state_bootstrap::start() {
   Learning = startLearning({Node.Settings.Listen.Control, Node.Settings.Seeds,
                             Node.Settings.LinkMbps,
                             stableHash(Node.Settings.Instance)},
@@ -27,59 +28,63 @@
   tick();
 }
 
-void learner::hear(const std::string &Control) {
-  if (!Beliefs.knowsAll() && Control != Node.Settings.Listen.Control)
+void state_bootstrap::onSourceAnnounced(const std::string &Control) {
+  if (!State.hasFullState() && Control != Node.Settings.Listen.Control)
     hearOfSource(Learning, Control);
 }
 
-bool learner::mayAskStore() const {
+bool state_bootstrap::mayAskStore() const {
   return amaranthhoist::mayAskStore(Learning, Node.Loop.now());
 }
 
-void learner::tick() {
+void state_bootstrap::tick() {
   NextTick = 0;
-  if (Beliefs.knowsAll()) {
-    HeardCaller.abandon();
-    SeedCaller.abandon();
+  if (State.hasFullState()) {
+    AnnouncedConnection.abandon();
+    SeedConnection.abandon();
     return;
   }
-  if (!HeardCaller.isBusy())
+  if (!AnnouncedConnection.isBusy())
     if (const auto Control = takeHeard(Learning))
-      ask(HeardCaller, *Control);
-  if (!SeedCaller.isBusy())
+      requestState(AnnouncedConnection, *Control);
+  if (!SeedConnection.isBusy())
     if (const auto Control = takeSeed(Learning, Node.Loop.now()))
-      ask(SeedCaller, *Control);
+      requestState(SeedConnection, *Control);
   NextTick = Node.Loop.after(TickPeriod, [this] { tick(); });
 }
 
-void learner::ask(store_caller &Caller, const std::string &Control) {
-  Caller.setServer(Control);
-  Caller.call(
-      "GET", changesQuestion(Node, Beliefs.cache()), {}, AskTime,
-      [this, Control](const store_answer &Answer) { take(Answer, Control); });
+void state_bootstrap::requestState(store_connection &Connection,
+                                   const std::string &Control) {
+  Connection.setServer(Control);
+  Connection.call("GET", changesRequest(Node, State.cache()), {},
+                  StateRequestTimeout,
+                  [this, Control](const store_response &Response) {
+                    handleResponse(Response, Control);
+                  });
 }
 
-void learner::take(const store_answer &Answer, const std::string &Control) {
-  if (Answer.Status == 0 || Beliefs.knowsAll())
+void state_bootstrap::handleResponse(const store_response &Response,
+                                     const std::string &Control) {
+  if (Response.Status == 0 || State.hasFullState())
     return;
-  auto Changes = decodeChanges(Answer.Body);
+  auto Changes = decodeChanges(Response.Body);
   if (!Changes) {
     Node.Log.write(log_kind::Belief, "state_unreadable", {{"from", Control}},
                    Node.Loop.now());
     return;
   }
   for (const std::string &Other : Changes->Sources)
-    hear(Other);
-  if (Answer.Status != 200) {
+    onSourceAnnounced(Other);
+  if (Response.Status != 200) {
     if (!mayAskStore())
       noteSignOfLife(Learning, Node.Loop.now());
     return;
   }
   Source = Control;
   FreshAt = Node.Loop.now() - Changes->Age;
-  Beliefs.notePeer(Changes->ListIsSure);
+  State.onPeerListState(Changes->ListIsSure);
   for (kind_changes &Kind : Changes->Kinds)
-    Beliefs.take(std::move(Kind));
+    State.update(std::move(Kind));
 }
 
 } // namespace amaranthhoist
--- a/Services/Node/learner.h
+++ b/Services/Node/learner.h
@@ -1,4 +1,4 @@
-/// Gets the whole state from other instances after a start.
+/// Fetches the full state from other instances after a start.
 #pragma once
 
 #include "StateSpread/learning.h"
@@ -10,35 +10,38 @@
 
 namespace amaranthhoist {
 
-class learner {
+class state_bootstrap {
 public:
-  learner(node &Node, beliefs &Beliefs);
+  state_bootstrap(node &Node, replicated_state &State);
 
-  /// Begins; ends by itself once the node knows all, from wherever.
+  /// Starts; stops by itself once the node has full state, from any source.
   void start();
-  /// Somebody has the state at \p Control, `ip:port`.
-  void hear(const std::string &Control);
+  /// Called when the instance at \p Control, `ip:port`, announces that it has
+  /// the state.
+  void onSourceAnnounced(const std::string &Control);
 
-  /// Whether the store itself is to be asked.
+  /// Returns whether the store itself may be asked.
   [[nodiscard]] bool mayAskStore() const;
-  /// From when on, as it looks now.
-  [[nodiscard]] instant askStoreAt() const { return Learning.AskStoreAt; }
-  /// When the state was fresh at the store, if it came from a peer.
+  /// Currently estimated time from which the store may be asked.
+  [[nodiscard]] instant storeFallbackAt() const { return Learning.AskStoreAt; }
+  /// Time at which the state was fresh at the store, if it came from a peer.
   [[nodiscard]] instant freshAt() const { return FreshAt; }
-  /// Control address of the peer that gave the state; empty: none did.
+  /// Control address of the peer that served the state; empty if none did.
   [[nodiscard]] const std::string &source() const { return Source; }
 
 private:
   void tick();
-  void ask(store_caller &Caller, const std::string &Control);
-  void take(const store_answer &Answer, const std::string &Control);
+  void requestState(store_connection &Connection, const std::string &Control);
+  void handleResponse(const store_response &Response,
+                      const std::string &Control);
 
   node &Node;
-  beliefs &Beliefs;
+  replicated_state &State;
   learning Learning;
-  /// Those heard of needn't wait for a seed that is silent.
-  store_caller HeardCaller;
-  store_caller SeedCaller;
+  /// Separate from the seeds' connection, so that announced sources don't wait
+  /// for an unresponsive seed.
+  store_connection AnnouncedConnection;
+  store_connection SeedConnection;
   timer_id NextTick = 0;
   instant FreshAt{};
   std::string Source;
--- a/Services/Node/main.cpp
+++ b/Services/Node/main.cpp
@@ -1,5 +1,5 @@
-/// The node program: one process on each instance that takes callers'
-/// requests, answers their look-ups and keeps in touch with its peers.
+/// The node program: one process on each instance that serves callers' requests
+/// and look-ups and exchanges state with its peers.
 #include "HttpConnection/small_server.h"
 #include "Text/text.h"
 #include "caller_server.h"
@@ -20,44 +20,53 @@
 
 namespace amaranthhoist {
 
-/// Where the settings file's path stands unless the command line tells it.
+/// Environment variable with the settings file's path, used when the command
+/// line has none.
 static constexpr const char *SettingsVariable = "AMARANTHHOIST_SETTINGS";
-/// Callers keep a look-up's answer this long at most, so that an instance that
-/// is gone is soon named nowhere; the operators' bound may be lower.
-static constexpr duration LongestLookup = std::chrono::seconds(3);
-/// A leaving node stays at least this long, so that callers with older
-/// look-ups find it.
-static constexpr duration ShortestLeave = std::chrono::milliseconds(3'200);
-/// Everything must be over this long before the end of the grace period, when
+/// Maximum time callers cache a look-up's response, so that an instance that is
+/// gone soon disappears from all caches; the operators' bound may be lower.
+static constexpr duration MaxLookupTimeToLive = std::chrono::seconds(3);
+/// Minimum time a node keeps running during shutdown, so that callers with
+/// older look-ups reach it.
+static constexpr duration MinShutdownTime = std::chrono::milliseconds(3'200);
+/// All work must be finished this long before the end of the grace period, when
 /// the process is killed.
-static constexpr duration EndMargin = std::chrono::milliseconds(350);
-static constexpr duration LeaveCheckPeriod = std::chrono::milliseconds(50);
+static constexpr duration ShutdownMargin = std::chrono::milliseconds(350);
+static constexpr duration ShutdownCheckPeriod = std::chrono::milliseconds(50);
 
-/// Write end of the pipe that brings signals into the event loop.
+/// Write end of the pipe that forwards signals to the event loop.
 static int SignalPipe = -1;
 
 static void onSignal(int Signal) {
   const char Byte = static_cast<char>(Signal);
-  // A full pipe already holds signals that are to be seen.
+  // A full pipe already holds signals to be handled.
   [[maybe_unused]] const ssize_t Written = write(SignalPipe, &Byte, 1);
 }
 
-/// The parts of the program and what holds them together.
+/// Owns and connects the parts of the program.
 class node_program : private io_handler {
 public:
   node_program(node_settings Settings, const wire_names &Wire,
                std::string SettingsFile)
       : SettingsFile(std::move(SettingsFile)), Node(std::move(Settings), Wire),
         Pool(Node), Callers(Node, Pool),
-        Store(Node, [this](const auto &Address) { Peers.tell(Address); }),
-        Peers(Node, [this](const auto &Control) { Store.hear(Control); }),
-        PeerServer(
-            Node.Loop,
-            [this](auto Path, auto Query) { return answerPeer(Path, Query); }),
+        Store(Node,
+              [this](const auto &Address) { Peers.announceState(Address); }),
+        Peers(
+            Node,
+            [this](const auto &Control) { Store.onSourceAnnounced(Control); }),
+        PeerServer(Node.Loop,
+                   [this](auto Path, auto Query) {
+                     return handlePeerQuery(Path, Query);
+                   }),
         Lookups(Node.Loop,
-                [this](auto Path, auto Query) { return lookUp(Path, Query); }),
+                [this](auto Path, auto Query) {
+                  return handleLookup(Path, Query);
+                }),
         Readiness(Node.Loop,
-                  [this](auto Path, auto /*Query*/) { return ready(Path); }),
+                  [this](auto Path, auto /*Query*/) {
+                    return handleReadinessQuery(Path);
+                  }),
         MetricsServer(Node.Loop, [this](auto /*Path*/, auto /*Query*/) {
           return small_answer{200, "text/plain; version=0.0.4",
                               Node.Metrics.expose()};
@@ -93,7 +102,7 @@
   }
 
 private:
-  /// A node whose metrics can't be read still serves callers.
+  /// A node that can't serve metrics still serves callers.
   void listenForMetrics() {
     const std::string &Address = Node.Settings.Listen.Metrics;
     if (Address.empty())
@@ -107,7 +116,7 @@
                      Node.Loop.now());
   }
 
-  small_answer lookUp(std::string_view Path, std::string_view Query) {
+  small_answer handleLookup(std::string_view Path, std::string_view Query) {
     if (Path != platform::LookupPath)
       return {404, "application/json", "{}"};
     const auto Addresses = addressesFor(Node.Fleet, queryValue(Query, "zone"),
@@ -115,23 +124,23 @@
     if (Addresses.empty())
       return {503, "application/json", "{}"};
     const duration TimeToLive =
-        std::min(LongestLookup, Node.Settings.Bounds.LookupTimeToLive);
+        std::min(MaxLookupTimeToLive, Node.Settings.Bounds.LookupTimeToLive);
     return {200, "application/json",
             platform::encodeAddresses(Addresses, TimeToLive)};
   }
 
-  small_answer ready(std::string_view Path) const {
+  small_answer handleReadinessQuery(std::string_view Path) const {
     if (Path != platform::ReadinessPath)
       return {404, "application/json", "{}"};
     return {Node.isReady() ? 200 : 503, "application/json", "{}"};
   }
 
-  small_answer answerPeer(std::string_view Path, std::string_view Query) {
+  small_answer handlePeerQuery(std::string_view Path, std::string_view Query) {
     if (Path == "/v1/status")
       return {200, "application/json", encodeStatus(Node, Store)};
     if (Path != ChangesPath)
       return {404, "application/json", "{}"};
-    return Store.answerPeer(Query);
+    return Store.handlePeerQuery(Query);
   }
 
   result<bool> watchSignals() {
@@ -154,7 +163,7 @@
       if (Signal == SIGHUP)
         reload();
       else
-        leave();
+        beginShutdown();
     }
   }
 
@@ -165,7 +174,7 @@
                      {{"why", Settings.error().Message}}, Node.Loop.now());
       return;
     }
-    // Addresses stay as they are: connections stand on them.
+    // Addresses are not reloaded, since open connections depend on them.
     Node.Settings.Bounds = Settings->Bounds;
     Node.Settings.Store = Settings->Store;
     Node.Settings.MemoryMb = Settings->MemoryMb;
@@ -178,33 +187,35 @@
     Node.Log.write(log_kind::Process, "reloaded", {}, Node.Loop.now());
   }
 
-  void leave() {
-    if (Node.IsLeaving)
+  void beginShutdown() {
+    if (Node.IsShuttingDown)
       return;
-    Node.IsLeaving = true;
+    Node.IsShuttingDown = true;
     Node.Fleet.OwnIsLeaving = true;
-    LeaveBegan = Node.Loop.now();
+    ShutdownStartedAt = Node.Loop.now();
     const duration Grace = Node.Settings.Bounds.GracePeriod;
-    // What is taken later could be cut off halfway by the end of the process.
-    Node.RefusesFrom =
-        LeaveBegan +
-        std::max(Grace / 2, Grace - EndMargin - longestTimeout(Node.Steering));
+    // A request accepted later could be cut off by the end of the process.
+    Node.RefusesNewRequestsFrom =
+        ShutdownStartedAt +
+        std::max(Grace / 2,
+                 Grace - ShutdownMargin - longestTimeout(Node.Steering));
     Peers.leave();
-    Node.Log.write(log_kind::Process, "leaving", {}, LeaveBegan);
-    Node.Loop.every(LeaveCheckPeriod, [this, Grace] { checkLeave(Grace); });
+    Node.Log.write(log_kind::Process, "leaving", {}, ShutdownStartedAt);
+    Node.Loop.every(ShutdownCheckPeriod,
+                    [this, Grace] { checkShutdown(Grace); });
   }
 
-  void checkLeave(duration Grace) {
-    const duration Passed = Node.Loop.now() - LeaveBegan;
-    const bool IsOver = Passed >= ShortestLeave && !Callers.isBusy();
-    if (IsOver || Passed >= Grace - EndMargin) {
+  void checkShutdown(duration Grace) {
+    const duration Passed = Node.Loop.now() - ShutdownStartedAt;
+    const bool IsOver = Passed >= MinShutdownTime && !Callers.isBusy();
+    if (IsOver || Passed >= Grace - ShutdownMargin) {
       Callers.stopListening();
-      Callers.noteCutOff();
+      Callers.logAborted();
       Node.Loop.stop();
       return;
     }
-    if (Node.Loop.now() >= Node.RefusesFrom)
-      Callers.endIdleConnections();
+    if (Node.Loop.now() >= Node.RefusesNewRequestsFrom)
+      Callers.closeIdleConnections();
   }
 
   std::string SettingsFile;
@@ -218,7 +229,7 @@
   small_server Readiness;
   small_server MetricsServer;
   int SignalSource = -1;
-  instant LeaveBegan{};
+  instant ShutdownStartedAt{};
 };
 
 static int serve(const std::string &SettingsFile) {
--- a/Services/Node/node.cpp
+++ b/Services/Node/node.cpp
@@ -4,7 +4,7 @@
 
 namespace amaranthhoist {
 
-/// Log lines wait at most this long for the kernel.
+/// Maximum time a log line is buffered before it is written.
 static constexpr duration LogFlushPeriod = std::chrono::milliseconds(200);
 
 node::node(node_settings InitialSettings, const wire_names &Wire)
@@ -51,7 +51,7 @@
 
 bool node::isReady() const {
   return Steering.Routes.has_value() && !Steering.Targets.ById.empty() &&
-         !IsLeaving;
+         !IsShuttingDown;
 }
 
 } // namespace amaranthhoist
--- a/Services/Node/node.h
+++ b/Services/Node/node.h
@@ -1,5 +1,5 @@
-/// What all parts of the node program share: the loop, the decisions' state,
-/// and where they report to.
+/// State shared by all parts of the node program: the event loop, the state
+/// that decisions are based on, and the log and metrics.
 #pragma once
 
 #include "EventLog/event_log.h"
@@ -20,26 +20,27 @@
 
 namespace amaranthhoist {
 
-/// Names of the header fields that carry meaning between callers, nodes and
-/// backend servers, and the decoder of the load field. The adapter of the
-/// place where the node runs supplies them.
+/// Names of the header fields exchanged between callers, nodes and backend
+/// servers, and the decoder of the load field. Supplied by the adapter of the
+/// platform that the node runs on.
 struct wire_names {
   std::string_view RequestId;
   std::string_view TimeLeft;
   std::string_view ObjectKey;
-  /// Proves that a backend server made an answer.
+  /// Proves that a backend server made a response.
   std::string_view Signature;
-  /// Asks every other backend server to refuse.
+  /// Makes every other backend server refuse the request.
   std::string_view ExpectedTarget;
   std::string_view Load;
   /// The backend server did not run the request.
   std::string_view NotRun;
-  /// The backend server leaves; in all of its answers then.
+  /// The backend server is draining; present in all of its responses from then
+  /// on.
   std::string_view Leaving;
   std::optional<target_load> (*DecodeLoad)(std::string_view);
 };
 
-/// Something that is destroyed after the present round of events, because its
+/// An object that is destroyed after the current round of events, because its
 /// own code may still be on the stack.
 class retirable {
 public:
@@ -48,14 +49,14 @@
 
 struct node;
 
-/// The version of the configuration in force; 0: none yet.
+/// The version of the configuration in force, or 0 if there is none yet.
 std::int64_t configurationVersion(const node &Node);
 
-/// Tells that a content was put under quarantine or released, if it was.
+/// Logs that a content was quarantined or released, if \p Change is set.
 void logQuarantine(node &Node, const std::optional<quarantine_change> &Change);
 
-/// Closes a connection, if there is one, and destroys it after the present
-/// round of events.
+/// Closes the connection, if any, and destroys it after the current round of
+/// events.
 void retireConnection(node &Node,
                       std::unique_ptr<client_connection> &Connection);
 
@@ -69,28 +70,31 @@
   metrics_registry Metrics;
   steering Steering;
   fleet Fleet;
-  /// Every kind of object was known whole once.
-  bool HasLearned = false;
-  /// Until then a node that hasn't learned keeps requests rather than refusing
-  /// them.
-  instant LearnsUntil{};
-  /// SIGTERM came: finish what is there and leave.
-  bool IsLeaving = false;
-  /// From then on a leaving node takes no new requests.
-  instant RefusesFrom{};
-  /// Bytes of requests' bodies held, all callers together.
-  std::size_t HeldBodyBytes = 0;
+  /// A full list of every kind of object has been received.
+  bool HasFullState = false;
+  /// Until this time a node without full state holds requests instead of
+  /// refusing them.
+  instant BootstrapDeadline{};
+  /// SIGTERM was received: the node finishes the requests in flight and shuts
+  /// down.
+  bool IsShuttingDown = false;
+  /// From this time on a node that shuts down refuses new requests.
+  instant RefusesNewRequestsFrom{};
+  /// Bytes of request bodies buffered for all callers together.
+  std::size_t BufferedBodyBytes = 0;
   std::vector<std::unique_ptr<retirable>> Retired;
 
-  /// Whether it knows enough to serve callers, and isn't leaving.
+  /// Returns whether the node has enough state to serve callers and is not
+  /// shutting down.
   [[nodiscard]] bool isReady() const;
-  /// Whether it has just started and is about to know what is in force.
-  [[nodiscard]] bool isLearning() const {
-    return !HasLearned && Loop.now() < LearnsUntil;
+  /// Returns whether the node has just started and expects full state shortly.
+  [[nodiscard]] bool isBootstrapping() const {
+    return !HasFullState && Loop.now() < BootstrapDeadline;
   }
-  /// Whether it leaves and can't surely end another request in time.
-  [[nodiscard]] bool refusesRequests() const {
-    return IsLeaving && Loop.now() >= RefusesFrom;
+  /// Returns whether the node is shutting down and may not finish another
+  /// request in time.
+  [[nodiscard]] bool refusesNewRequests() const {
+    return IsShuttingDown && Loop.now() >= RefusesNewRequestsFrom;
   }
 };
 
--- a/Services/Node/own_object.cpp
+++ b/Services/Node/own_object.cpp
@@ -6,65 +6,69 @@
 
 namespace amaranthhoist {
 
-static constexpr duration WriteTime = std::chrono::milliseconds(1'500);
-/// After a failed write, doubled up to the longest: hundreds of new instances
-/// may find the store away.
-static constexpr duration FirstPause = std::chrono::milliseconds(500);
-static constexpr duration LongestPause = std::chrono::seconds(4);
-/// Until a write shows in the list, by a watcher's pause and two polls.
-static constexpr duration AfterWrite = std::chrono::seconds(5);
+static constexpr duration WriteTimeout = std::chrono::milliseconds(1'500);
+/// Backoff after a failed write, doubled up to the maximum: hundreds of new
+/// instances may find the store unavailable at the same time.
+static constexpr duration InitialBackoff = std::chrono::milliseconds(500);
+static constexpr duration MaxBackoff = std::chrono::seconds(4);
+/// Time until a write appears in the list: a watcher's delay and two polls.
+static constexpr duration WriteVisibilityDelay = std::chrono::seconds(5);
 
-own_object::own_object(node &Node, const beliefs &Beliefs)
-    : Node(Node), Beliefs(Beliefs), Writer(Node, Node.Settings.Store),
-      Pause(FirstPause) {}
+instance_registration::instance_registration(node &Node,
+                                             const replicated_state &State)
+    : Node(Node), State(State), Writer(Node, Node.Settings.Store),
+      Backoff(InitialBackoff) {}
 
-const std::string *own_object::listed() const {
+const std::string *instance_registration::listedText() const {
   const auto &Known =
-      Beliefs.cache().Kinds[static_cast<std::size_t>(object_kind::Instance)];
+      State.cache().Kinds[static_cast<std::size_t>(object_kind::Instance)];
   const auto Entry = Known.Entries.find(Node.Settings.Instance);
-  const bool IsThere = Entry != Known.Entries.end() && !Entry->second.IsDeleted;
-  return IsThere ? &Entry->second.Text : nullptr;
+  const bool IsListed =
+      Entry != Known.Entries.end() && !Entry->second.IsDeleted;
+  return IsListed ? &Entry->second.Text : nullptr;
 }
 
-void own_object::maintain() {
-  if (Node.IsLeaving || Writer.isBusy() || Node.Loop.now() < NextAt)
+void instance_registration::maintain() {
+  if (Node.IsShuttingDown || Writer.isBusy() || Node.Loop.now() < NextWriteAt)
     return;
-  const std::string *Listed = listed();
+  const std::string *Listed = listedText();
   if (Listed) {
     const auto Member = platform::decodeMember(*Listed);
     if (Member && *Member == Node.Fleet.Own)
       return;
   }
-  write(!Listed && !IsThere);
+  write(!Listed && !ExistsInStore);
 }
 
-void own_object::write(bool IsAbsent) {
+void instance_registration::write(bool IsAbsent) {
   const std::string Path =
       IsAbsent
           ? platform::encodeKindPath(object_kind::Instance)
           : platform::encodeObjectPath(object_kind::Instance,
                                        Node.Settings.Instance, std::nullopt);
-  Writer.call(
-      IsAbsent ? "POST" : "PUT", Path, platform::encodeMember(Node.Fleet.Own),
-      WriteTime,
-      [this, IsAbsent](const store_answer &Answer) { take(Answer, IsAbsent); });
+  Writer.call(IsAbsent ? "POST" : "PUT", Path,
+              platform::encodeMember(Node.Fleet.Own), WriteTimeout,
+              [this, IsAbsent](const store_response &Response) {
+                handleResponse(Response, IsAbsent);
+              });
 }
 
-void own_object::take(const store_answer &Answer, bool WasCreation) {
-  // A creation that finds the object there may be a repeat of one whose answer
-  // was lost, or the list may be old.
-  IsThere =
-      WasCreation ? Answer.Status == 409 : Answer.Status != 404 && IsThere;
-  if (Answer.Status / 100 == 2) {
-    Pause = FirstPause;
-    NextAt = Node.Loop.now() + AfterWrite;
+void instance_registration::handleResponse(const store_response &Response,
+                                           bool WasCreation) {
+  // A creation that finds an existing object may be a retry of one whose
+  // response was lost, or the list may be outdated.
+  ExistsInStore = WasCreation ? Response.Status == 409
+                              : Response.Status != 404 && ExistsInStore;
+  if (Response.Status / 100 == 2) {
+    Backoff = InitialBackoff;
+    NextWriteAt = Node.Loop.now() + WriteVisibilityDelay;
     return;
   }
   Node.Log.write(log_kind::Belief, "registration_failed",
-                 {{"status", static_cast<std::int64_t>(Answer.Status)}},
+                 {{"status", static_cast<std::int64_t>(Response.Status)}},
                  Node.Loop.now());
-  NextAt = Node.Loop.now() + Pause;
-  Pause = std::min(Pause * 2, LongestPause);
+  NextWriteAt = Node.Loop.now() + Backoff;
+  Backoff = std::min(Backoff * 2, MaxBackoff);
 }
 
 } // namespace amaranthhoist
--- a/Services/Node/own_object.h
+++ b/Services/Node/own_object.h
@@ -1,4 +1,5 @@
-/// Keeps this node's own object in the store, by which others know it.
+/// Maintains this node's own object in the store, which registers it with the
+/// fleet.
 #pragma once
 
 #include "beliefs.h"
@@ -7,31 +8,31 @@
 
 namespace amaranthhoist {
 
-class own_object {
+class instance_registration {
 public:
-  own_object(node &Node, const beliefs &Beliefs);
+  instance_registration(node &Node, const replicated_state &State);
 
-  /// Writes the object if the list of instances lacks it or shows another. An
-  /// object of an earlier start that is the same needs no write, so that a
-  /// restart of the whole fleet costs the store none.
+  /// Writes the object if the list of instances lacks it or has a different
+  /// one. An identical object of an earlier start needs no write, so that a
+  /// restart of the whole fleet causes no writes to the store.
   void maintain();
-  /// Whether the list of instances has an object of this node, be it an old
-  /// one.
-  [[nodiscard]] bool isListed() const { return listed() != nullptr; }
+  /// Returns whether the list of instances has an object of this node, even an
+  /// outdated one.
+  [[nodiscard]] bool isListed() const { return listedText() != nullptr; }
 
 private:
-  /// The object's text in the list; nullptr: it isn't there.
-  [[nodiscard]] const std::string *listed() const;
+  /// The object's text in the list, or nullptr if it is not listed.
+  [[nodiscard]] const std::string *listedText() const;
   void write(bool IsAbsent);
-  void take(const store_answer &Answer, bool WasCreation);
+  void handleResponse(const store_response &Response, bool WasCreation);
 
   node &Node;
-  const beliefs &Beliefs;
-  store_caller Writer;
-  instant NextAt{};
-  duration Pause{};
-  /// The store said that the object is there, whatever the list shows.
-  bool IsThere = false;
+  const replicated_state &State;
+  store_connection Writer;
+  instant NextWriteAt{};
+  duration Backoff{};
+  /// The store reported that the object exists, even if the list lacks it.
+  bool ExistsInStore = false;
 };
 
 } // namespace amaranthhoist
--- a/Services/Node/peer_link.cpp
+++ b/Services/Node/peer_link.cpp
@@ -8,15 +8,17 @@
 
 namespace amaranthhoist {
 
-/// Clock of the membership: a few ticks within its shortest timeout (300 ms).
+/// Tick period of the membership: a few ticks within its shortest timeout (300
+/// ms).
 static constexpr duration TickPeriod = std::chrono::milliseconds(150);
-/// Others that get news in one tick.
-static constexpr int NewsReceivers = 2;
-/// Larger than any datagram that is sent.
+/// Number of instances that receive new crash reports in one tick.
+static constexpr int ReceiversPerTick = 2;
+/// Larger than any datagram that a node sends.
 static constexpr std::size_t MaxDatagram = 8'192;
 
-peer_link::peer_link(node &Node, std::function<void(const std::string &)> Heard)
-    : Node(Node), Heard(std::move(Heard)) {
+peer_link::peer_link(node &Node,
+                     std::function<void(const std::string &)> OnPeerSeen)
+    : Node(Node), OnPeerSeen(std::move(OnPeerSeen)) {
   Node.Fleet.Membership.Policy.ProbePeriod = std::chrono::milliseconds(500);
   Node.Fleet.Membership.Random.seed(stableHash(Node.Settings.Instance));
   setOwnMembers(Node.Fleet.Membership, {Node.Settings.Instance});
@@ -48,13 +50,14 @@
   Address.sin_family = AF_INET;
   Address.sin_port = htons(To.Port);
   Address.sin_addr.s_addr = htonl(To.Ip);
-  // A datagram that can't be sent is a lost one, which the protocol expects.
+  // A datagram that can't be sent counts as lost, which the protocol tolerates.
   sendto(Descriptor, Bytes.data(), Bytes.size(), MSG_NOSIGNAL,
          reinterpret_cast<const sockaddr *>(&Address), sizeof Address);
 }
 
-void peer_link::tell(const std::string &Address) {
-  // A probe of nobody: it wants no answer, and shows its sender's address.
+void peer_link::announceState(const std::string &Address) {
+  // A probe without a target requests no response and shows its sender's
+  // address.
   if (auto To = parseEndpoint(Address))
     send({}, *To);
 }
@@ -79,35 +82,38 @@
                  reinterpret_cast<sockaddr *>(&Source), &SourceSize);
     if (Size < 0)
       return;
-    take({Buffer.data(), static_cast<std::size_t>(Size)},
-         {ntohl(Source.sin_addr.s_addr), ntohs(Source.sin_port)});
+    handleDatagram({Buffer.data(), static_cast<std::size_t>(Size)},
+                   {ntohl(Source.sin_addr.s_addr), ntohs(Source.sin_port)});
   }
 }
 
-void peer_link::take(std::string_view Bytes, const endpoint &Source) {
+void peer_link::handleDatagram(std::string_view Bytes, const endpoint &Source) {
   auto Datagram = decodeDatagram(Bytes);
   if (!Datagram)
     return;
-  // A node that leaves or learns still sends requests.
+  // Crash reports are applied in every state: a node that shuts down or
+  // bootstraps still sends requests.
   for (const quarantine_change &Change : takeReports(
            Node.Steering.Quarantine, Datagram->Crashes, Node.Loop.now()))
     logQuarantine(Node, Change);
   if (HasLeft)
     return;
   if (!Node.isReady()) {
-    // Silence keeps it out of the others' look-ups until it can serve.
-    Heard(Datagram->Control);
+    // Not responding keeps this node out of the others' look-ups until it can
+    // serve.
+    OnPeerSeen(Datagram->Control);
     return;
   }
-  const auto Answers =
+  const auto Responses =
       handleMembershipMessage(Node.Fleet.Membership, Datagram->Sender,
                               Datagram->Message, Node.Loop.now());
-  for (const outgoing_membership_message &Answer : Answers) {
-    // The list may lag behind a node's new address; its datagram shows it.
-    if (Answer.To == Datagram->Sender)
-      send(Answer.Message, Source);
+  for (const outgoing_membership_message &Response : Responses) {
+    // The list may lag behind a node's new address, which is the source of its
+    // datagram.
+    if (Response.To == Datagram->Sender)
+      send(Response.Message, Source);
     else
-      sendAll({&Answer, 1});
+      sendAll({&Response, 1});
   }
 }
 
@@ -115,20 +121,20 @@
   if (HasLeft || !Node.isReady())
     return;
   sendAll(membershipTick(Node.Fleet.Membership, Node.Loop.now()));
-  sendCrashNews();
-  reportChanges();
+  sendNewCrashReports();
+  logMembershipChanges();
 }
 
-/// By the probes alone, two a second, instances of a large fleet would learn of
-/// a crash too late.
-void peer_link::sendCrashNews() {
+/// With the probes alone, two a second, the instances of a large fleet would
+/// receive crash reports too late.
+void peer_link::sendNewCrashReports() {
   const instant Now = Node.Loop.now();
   for (crash_report &Suspicion :
        reportSuspicions(Node.Steering.Quarantine, Now))
     for (const fleet_member *Counting :
          rendezvousMembers(Node.Fleet, Suspicion.Content, CountingInstances))
       sendCrashes({Suspicion}, *Counting);
-  for (int Receiver = 0; Receiver < NewsReceivers; ++Receiver) {
+  for (int Receiver = 0; Receiver < ReceiversPerTick; ++Receiver) {
     auto News = reportNews(Node.Steering.Quarantine, Now);
     const fleet_member *Member =
         News.empty() ? nullptr : pickUpMember(Node.Fleet);
@@ -140,24 +146,24 @@
 
 void peer_link::sendCrashes(std::vector<crash_report> Crashes,
                             const fleet_member &Member) {
-  // A probe of nobody wants no answer.
+  // A probe without a target requests no response.
   if (auto To = parseEndpoint(Member.Peer))
     send({}, std::move(Crashes), *To);
 }
 
-void peer_link::reportChanges() {
+void peer_link::logMembershipChanges() {
   const std::set<std::string> &Down = downMembers(Node.Fleet.Membership);
-  if (Down == ReportedDown)
+  if (Down == LoggedDown)
     return;
   for (const std::string &Name : Down)
-    if (!ReportedDown.contains(Name))
+    if (!LoggedDown.contains(Name))
       Node.Log.write(log_kind::Belief, "peer_lost", {{"peer", Name}},
                      Node.Loop.now());
-  for (const std::string &Name : ReportedDown)
+  for (const std::string &Name : LoggedDown)
     if (!Down.contains(Name))
       Node.Log.write(log_kind::Belief, "peer_back", {{"peer", Name}},
                      Node.Loop.now());
-  ReportedDown = Down;
+  LoggedDown = Down;
 }
 
 void peer_link::leave() {
@@ -165,7 +171,8 @@
   auto Own = Membership.Own.find(Node.Settings.Instance);
   if (HasLeft || Own == Membership.Own.end())
     return;
-  // One higher than anything said of this node, so that it wins everywhere.
+  // One higher than any update about this node, so that it takes precedence
+  // everywhere.
   membership_message Message;
   Message.Kind = membership_message::kind::Ack;
   Message.Beliefs.push_back(
--- a/Services/Node/peer_link.h
+++ b/Services/Node/peer_link.h
@@ -1,5 +1,5 @@
-/// Carries the messages of the membership between nodes, as datagrams, and
-/// drives its clock.
+/// Sends and receives membership messages between nodes as datagrams, and
+/// drives the membership's clock.
 #pragma once
 
 #include "EventLoop/socket.h"
@@ -13,36 +13,36 @@
 
 class peer_link : private io_handler {
 public:
-  /// \p Heard gets the control addresses of instances that send datagrams
-  /// while this one can't serve yet.
-  peer_link(node &Node, std::function<void(const std::string &)> Heard);
+  /// \p OnPeerSeen is called with the control addresses of instances that send
+  /// datagrams while this one is not ready to serve.
+  peer_link(node &Node, std::function<void(const std::string &)> OnPeerSeen);
   ~peer_link() override;
 
   result<bool> listen(const endpoint &Endpoint);
-  /// Tells the instance that takes datagrams at \p Address, `ip:port`, that
-  /// this one has the store's objects.
-  void tell(const std::string &Address);
-  /// Tells all others that this node leaves, and falls silent.
+  /// Notifies the instance that receives datagrams at \p Address, `ip:port`,
+  /// that this one has the store's objects.
+  void announceState(const std::string &Address);
+  /// Notifies all other nodes that this node shuts down, and stops sending.
   void leave();
 
 private:
   void onEvent(const io_event &Event) override;
-  void take(std::string_view Bytes, const endpoint &Source);
+  void handleDatagram(std::string_view Bytes, const endpoint &Source);
   void tick();
   void send(const membership_message &Message, const endpoint &To);
   void send(const membership_message &Message,
             std::vector<crash_report> Crashes, const endpoint &To);
-  void sendCrashNews();
+  void sendNewCrashReports();
   void sendCrashes(std::vector<crash_report> Crashes,
                    const fleet_member &Member);
   void sendAll(std::span<const outgoing_membership_message> Messages);
-  void reportChanges();
+  void logMembershipChanges();
 
   node &Node;
-  std::function<void(const std::string &)> Heard;
+  std::function<void(const std::string &)> OnPeerSeen;
   int Descriptor = -1;
   bool HasLeft = false;
-  std::set<std::string> ReportedDown;
+  std::set<std::string> LoggedDown;
 };
 
 } // namespace amaranthhoist
--- a/Services/Node/relay_link.cpp
+++ b/Services/Node/relay_link.cpp
@@ -7,33 +7,35 @@
 
 namespace amaranthhoist {
 
-/// Time between two polls. On its longest way a change passes a watcher's
-/// pause, a relay's poll and another one, 0.9 s together; it must be in force
+/// Time between two polls. On the longest path a change takes a watcher's
+/// delay, a relay's poll and another poll, 0.9 s together; it must be in force
 /// within 2.5 s.
 static constexpr duration PollPeriod = std::chrono::milliseconds(400);
-/// Of a relay, of which there are few.
+/// Poll period of a relay, of which there are few.
 static constexpr duration RelayPollPeriod = std::chrono::milliseconds(200);
-/// A source answers within a round trip between the farthest regions, and the
-/// time that a small machine needs to make its answer.
-static constexpr duration PollTime = std::chrono::milliseconds(700);
-/// After an answer that was no use the next source is asked at once, so that a
-/// region whose watchers can't reach the store finds fresh state within a few
-/// trips. But for so many times only: nobody has any while the store is away.
-static constexpr std::size_t QuickTries = 8;
-static constexpr duration QuickPoll = std::chrono::milliseconds(50);
-/// After so many answers from others the regular ones are tried again.
-static constexpr int AnswersBeforeReturn = 10;
+/// A source responds within a round trip between the farthest regions plus the
+/// time that a small machine needs to build its response.
+static constexpr duration PollTimeout = std::chrono::milliseconds(700);
+/// After a poll without fresh state the next source is polled immediately, so
+/// that a region whose watchers can't reach the store finds fresh state within
+/// a few round trips. The number is bounded, since no instance has fresh state
+/// while the store is unavailable.
+static constexpr std::size_t MaxQuickRetries = 8;
+static constexpr duration QuickPollDelay = std::chrono::milliseconds(50);
+/// Number of responses from other sources after which the regular ones are
+/// tried again.
+static constexpr int ResponsesBeforeReturn = 10;
 
-relay_link::relay_link(node &Node, beliefs &Beliefs)
-    : Node(Node), Beliefs(Beliefs), Caller(Node, {}) {}
+relay_link::relay_link(node &Node, replicated_state &State)
+    : Node(Node), State(State), Connection(Node, {}) {}
 
-void relay_link::start(bool OwnCallsAreInVain) {
-  if (IsRunning && IsBlind == OwnCallsAreInVain)
+void relay_link::start(bool StoreIsUnresponsive) {
+  if (IsRunning && IsDisconnectedFromStore == StoreIsUnresponsive)
     return;
   stop();
   IsRunning = true;
-  IsBlind = OwnCallsAreInVain;
-  Misses = 0;
+  IsDisconnectedFromStore = StoreIsUnresponsive;
+  FailedSources = 0;
   SourceName.clear();
   poll();
 }
@@ -41,24 +43,24 @@
 void relay_link::stop() {
   IsRunning = false;
   Node.Loop.cancel(NextPoll);
-  Caller.abandon();
+  Connection.abandon();
 }
 
-/// The seeds stand for sources while nobody is listed, as at the very first
+/// Uses the seeds as sources while no instance is listed, as at the very first
 /// start.
 void relay_link::chooseSource() {
   auto Sources = regularSources(Node.Fleet);
-  // The whole order takes a look at all instances.
-  if (IsBlind || Misses >= Sources.size())
-    Sources = sourcesInOrder(Node.Fleet, IsBlind);
+  // Computing the whole order visits all instances.
+  if (IsDisconnectedFromStore || FailedSources >= Sources.size())
+    Sources = sourcesInOrder(Node.Fleet, IsDisconnectedFromStore);
   if (!Sources.empty()) {
-    const fleet_member &Source = *Sources[Misses % Sources.size()];
+    const fleet_member &Source = *Sources[FailedSources % Sources.size()];
     setSource(Source.Name, Source.Control);
     return;
   }
   std::vector<std::string> Seeds = Node.Settings.Seeds;
   std::erase(Seeds, Node.Settings.Listen.Control);
-  const std::size_t At = Misses + stableHash(Node.Settings.Instance);
+  const std::size_t At = FailedSources + stableHash(Node.Settings.Instance);
   const std::string Seed = Seeds.empty() ? "" : Seeds[At % Seeds.size()];
   setSource(Seed, Seed);
 }
@@ -70,15 +72,15 @@
   SourceName = Name;
   if (Name.empty())
     return;
-  Caller.setServer(Control);
+  Connection.setServer(Control);
   Node.Log.write(log_kind::Belief, "relay_source", {{"peer", Name}},
                  Node.Loop.now());
 }
 
 void relay_link::pollSoon() {
-  // Never straight on: the caller is still at the end of its last call.
+  // Never called directly: the connection is still finishing its last call.
   Node.Loop.cancel(NextPoll);
-  NextPoll = Node.Loop.after(QuickPoll, [this] {
+  NextPoll = Node.Loop.after(QuickPollDelay, [this] {
     NextPoll = 0;
     poll();
   });
@@ -90,36 +92,39 @@
     NextPoll = 0;
     poll();
   });
-  // A slow answer may take longer than a period.
-  if (Caller.isBusy())
+  // A slow response may take longer than a period.
+  if (Connection.isBusy())
     return;
   chooseSource();
   if (SourceName.empty())
     return;
-  Caller.call("GET", changesQuestion(Node, Beliefs.cache()), {}, PollTime,
-              [this](const store_answer &Answer) { take(Answer); });
+  Connection.call(
+      "GET", changesRequest(Node, State.cache()), {}, PollTimeout,
+      [this](const store_response &Response) { handleResponse(Response); });
 }
 
-void relay_link::take(const store_answer &Answer) {
-  auto Changes = Answer.Status == 200 ? decodeChanges(Answer.Body)
-                                      : std::optional<cache_changes>();
+void relay_link::handleResponse(const store_response &Response) {
+  auto Changes = Response.Status == 200 ? decodeChanges(Response.Body)
+                                        : std::optional<cache_changes>();
   if (Changes)
-    AnsweredAt = Node.Loop.now();
+    RespondedAt = Node.Loop.now();
   if (!Changes || Changes->Age > OldState) {
-    if (++Misses <= QuickTries)
+    if (++FailedSources <= MaxQuickRetries)
       pollSoon();
     return;
   }
-  // From a source that isn't a regular one the way back is tried sometimes.
-  const bool IsRegular = Misses < regularSources(Node.Fleet).size() || IsBlind;
-  if (!IsRegular && ++FurtherAnswers >= AnswersBeforeReturn) {
-    Misses = 0;
-    FurtherAnswers = 0;
+  // While polling a source that isn't a regular one, periodically tries to
+  // return to the regular ones.
+  const bool IsRegular = FailedSources < regularSources(Node.Fleet).size() ||
+                         IsDisconnectedFromStore;
+  if (!IsRegular && ++FallbackResponses >= ResponsesBeforeReturn) {
+    FailedSources = 0;
+    FallbackResponses = 0;
   }
-  Beliefs.notePeer(Changes->ListIsSure);
+  State.onPeerListState(Changes->ListIsSure);
   FreshAt = Node.Loop.now() - Changes->Age;
   for (kind_changes &Kind : Changes->Kinds)
-    Beliefs.take(std::move(Kind));
+    State.update(std::move(Kind));
 }
 
 } // namespace amaranthhoist
--- a/Services/Node/relay_link.h
+++ b/Services/Node/relay_link.h
@@ -1,5 +1,5 @@
-/// Follows what changes in the store's objects by asking another instance, in
-/// short polls: a source that has died shows within one.
+/// Polls another instance for changes of the store's objects. Polls are short,
+/// so that a dead source is detected within one.
 #pragma once
 
 #include "beliefs.h"
@@ -13,40 +13,40 @@
 
 class relay_link {
 public:
-  relay_link(node &Node, beliefs &Beliefs);
+  relay_link(node &Node, replicated_state &State);
 
-  /// \p OwnCallsAreInVain: this instance asks the store itself and gets no
-  /// answer, as its regular sources may.
-  void start(bool OwnCallsAreInVain);
+  /// \p StoreIsUnresponsive: this instance asks the store itself and gets no
+  /// response, as its regular sources may.
+  void start(bool StoreIsUnresponsive);
   void stop();
-  /// When the state that was last taken over was fresh at the store.
+  /// Time at which the last applied state was fresh at the store.
   [[nodiscard]] instant freshAt() const { return FreshAt; }
-  /// When an instance last answered, with whatever state.
-  [[nodiscard]] instant answeredAt() const { return AnsweredAt; }
+  /// Time at which an instance last responded, with state of any age.
+  [[nodiscard]] instant respondedAt() const { return RespondedAt; }
 
-  /// The instance that is asked; empty: none yet.
+  /// The instance that is polled; empty if there is none yet.
   [[nodiscard]] const std::string &sourceName() const { return SourceName; }
 
 private:
   void poll();
   void pollSoon();
-  void take(const store_answer &Answer);
+  void handleResponse(const store_response &Response);
   void chooseSource();
   void setSource(const std::string &Name, const std::string &Control);
 
   node &Node;
-  beliefs &Beliefs;
-  store_caller Caller;
+  replicated_state &State;
+  store_connection Connection;
   timer_id NextPoll = 0;
   bool IsRunning = false;
-  bool IsBlind = false;
+  bool IsDisconnectedFromStore = false;
   std::string SourceName;
-  /// Sources in a row that were no use.
-  std::size_t Misses = 0;
-  /// Answers in a row from a source that isn't a regular one.
-  int FurtherAnswers = 0;
+  /// Consecutive sources that gave no fresh state.
+  std::size_t FailedSources = 0;
+  /// Consecutive responses from a source that isn't a regular one.
+  int FallbackResponses = 0;
   instant FreshAt{};
-  instant AnsweredAt{};
+  instant RespondedAt{};
 };
 
 } // namespace amaranthhoist
--- a/Services/Node/state_server.cpp
+++ b/Services/Node/state_server.cpp
@@ -5,10 +5,10 @@
 namespace amaranthhoist {
 
 static constexpr const char *ContentType = "application/octet-stream";
-/// This instance has no whole lists to give now.
-static constexpr int NotNow = 503;
+/// Status when this instance can't serve a full snapshot now.
+static constexpr int StatusUnavailable = 503;
 
-std::string changesQuestion(const node &Node, const object_cache &Known) {
+std::string changesRequest(const node &Node, const object_cache &Known) {
   std::string Text = cat(ChangesPath, "?known=");
   bool KnowsNothing = true;
   for (std::uint64_t Revision : knownRevisions(Known)) {
@@ -23,7 +23,7 @@
   return Text;
 }
 
-static known_revisions readKnown(std::string_view Query) {
+static known_revisions parseKnownRevisions(std::string_view Query) {
   known_revisions Known{};
   const std::string Value = queryValue(Query, "known");
   const auto Texts = split(Value, ',');
@@ -33,53 +33,53 @@
   return Known;
 }
 
-state_server::state_server(node &Node, const beliefs &Beliefs,
-                           std::function<duration()> OwnAge)
-    : Node(Node), Beliefs(Beliefs), OwnAge(std::move(OwnAge)),
+state_server::state_server(node &Node, const replicated_state &State,
+                           std::function<duration()> StateAge)
+    : Node(Node), State(State), StateAge(std::move(StateAge)),
       HandOut(makeHandOut(Node.Settings.LinkMbps, Node.Loop.now())) {}
 
-cache_changes state_server::head() const {
+cache_changes state_server::responseHead() const {
   cache_changes Head;
-  Head.Age = OwnAge();
-  Head.ListIsSure = Beliefs.listIsSure();
+  Head.Age = StateAge();
+  Head.ListIsSure = State.isTargetListComplete();
   return Head;
 }
 
-small_answer state_server::answer(std::string_view Query) {
-  const known_revisions Known = readKnown(Query);
+small_answer state_server::handleQuery(std::string_view Query) {
+  const known_revisions Known = parseKnownRevisions(Query);
   const bool IsNew = std::all_of(Known.begin(), Known.end(),
                                  [](std::uint64_t At) { return At == 0; });
   if (IsNew)
-    return answerNewInstance(Query);
-  cache_changes Changes = head();
-  Changes.Kinds = changesSince(Beliefs.cache(), Known).Kinds;
+    return serveNewInstance(Query);
+  cache_changes Changes = responseHead();
+  Changes.Kinds = changesSince(State.cache(), Known).Kinds;
   Node.Metrics.count("amaranthhoist_state_polls_answered_total");
   return {200, ContentType, encodeChanges(Changes)};
 }
 
-const packed_kinds &state_server::wholeLists() {
-  const known_revisions At = knownRevisions(Beliefs.cache());
-  if (At != WholeListsAt) {
-    WholeLists = packKinds(changesSince(Beliefs.cache(), {}).Kinds);
-    WholeListsAt = At;
+const packed_kinds &state_server::fullSnapshot() {
+  const known_revisions At = knownRevisions(State.cache());
+  if (At != SnapshotRevisions) {
+    FullSnapshot = packKinds(changesSince(State.cache(), {}).Kinds);
+    SnapshotRevisions = At;
   }
-  return WholeLists;
+  return FullSnapshot;
 }
 
-small_answer state_server::answerNewInstance(std::string_view Query) {
+small_answer state_server::serveNewInstance(std::string_view Query) {
   const new_instance Asker{
       queryValue(Query, "domain"), queryValue(Query, "region"),
       queryValue(Query, "control"), queryValue(Query, "peer")};
-  cache_changes Head = head();
-  if (!Beliefs.knowsAll()) {
+  cache_changes Head = responseHead();
+  if (!State.hasFullState()) {
     noteWaiting(HandOut, Asker);
-    return {NotNow, ContentType, encodeChanges(Head, {})};
+    return {StatusUnavailable, ContentType, encodeChanges(Head, {})};
   }
-  const packed_kinds &Kinds = wholeLists();
+  const packed_kinds &Kinds = fullSnapshot();
   if (!mayHandOut(HandOut, Asker, Kinds.Bytes.size(), Node.Loop.now())) {
     Head.Sources = referralsFor(HandOut, Asker);
     Node.Metrics.count("amaranthhoist_whole_lists_referred_total");
-    return {NotNow, ContentType, encodeChanges(Head, {})};
+    return {StatusUnavailable, ContentType, encodeChanges(Head, {})};
   }
   Node.Metrics.count("amaranthhoist_whole_lists_handed_out_total");
   return {200, ContentType, encodeChanges(Head, Kinds)};
@@ -87,10 +87,10 @@
 
 duration state_server::timeToHandOut(std::size_t Lists) {
   return amaranthhoist::timeToHandOut(HandOut, Lists,
-                                      wholeLists().Bytes.size());
+                                      fullSnapshot().Bytes.size());
 }
 
-std::vector<std::string> state_server::takeWaiting() {
+std::vector<std::string> state_server::popWaiting() {
   std::vector<std::string> Addresses;
   for (const new_instance &Waiting : HandOut.Waiting)
     Addresses.push_back(Waiting.Peer);
--- a/Services/Node/state_server.h
+++ b/Services/Node/state_server.h
@@ -1,5 +1,5 @@
-/// Hands on the store's objects to other instances: what changed to those that
-/// know some, whole lists to those that have just started.
+/// Serves the store's objects to other instances: changes to those with some
+/// state, full snapshots to those that have just started.
 #pragma once
 
 #include "HttpConnection/small_server.h"
@@ -15,40 +15,41 @@
 
 namespace amaranthhoist {
 
-/// Path of the question, on the control address.
+/// Path of the query on the control address.
 inline constexpr std::string_view ChangesPath = "/v1/changes";
 
-/// The question: what changed behind the revisions that \p Known holds. A node
-/// that knows nothing also tells who it is, to be served or told later.
-std::string changesQuestion(const node &Node, const object_cache &Known);
+/// Builds the query for changes since the revisions that \p Known has. A node
+/// without state also sends its identity, so that it can be served or notified
+/// later.
+std::string changesRequest(const node &Node, const object_cache &Known);
 
 class state_server {
 public:
-  /// \p OwnAge tells how long ago this instance heard from the store, directly
-  /// or through others.
-  state_server(node &Node, const beliefs &Beliefs,
-               std::function<duration()> OwnAge);
+  /// \p StateAge returns the time since this instance last had a response from
+  /// the store, directly or through others.
+  state_server(node &Node, const replicated_state &State,
+               std::function<duration()> StateAge);
 
-  small_answer answer(std::string_view Query);
+  small_answer handleQuery(std::string_view Query);
 
-  /// How long it takes until so many whole lists have been handed out.
+  /// Time until that many full snapshots have been sent.
   duration timeToHandOut(std::size_t Lists);
-  /// Addresses for datagrams of those that asked before this instance knew
-  /// enough; they are forgotten.
-  std::vector<std::string> takeWaiting();
+  /// Extracts the datagram addresses of the instances that asked before this
+  /// instance had full state.
+  std::vector<std::string> popWaiting();
 
 private:
-  small_answer answerNewInstance(std::string_view Query);
-  const packed_kinds &wholeLists();
-  cache_changes head() const;
+  small_answer serveNewInstance(std::string_view Query);
+  const packed_kinds &fullSnapshot();
+  cache_changes responseHead() const;
 
   node &Node;
-  const beliefs &Beliefs;
-  std::function<duration()> OwnAge;
+  const replicated_state &State;
+  std::function<duration()> StateAge;
   hand_out HandOut;
-  /// The whole lists as of those revisions.
-  packed_kinds WholeLists;
-  known_revisions WholeListsAt{};
+  /// The revisions of the full snapshot.
+  packed_kinds FullSnapshot;
+  known_revisions SnapshotRevisions{};
 };
 
 } // namespace amaranthhoist
--- a/Services/Node/status.cpp
+++ b/Services/Node/status.cpp
@@ -36,17 +36,17 @@
     Usable += isUsable(Directory, *Target, Now) ? 1 : 0;
   }
   const auto &Down = downMembers(Node.Fleet.Membership);
-  const store_view View = Store.view();
+  const store_status View = Store.status();
   return ordered_json{
       {"instance", Node.Settings.Instance},
       {"ready", Node.isReady()},
-      {"leaving", Node.IsLeaving},
+      {"leaving", Node.IsShuttingDown},
       {"version", configurationVersion(Node)},
       {"version_age_ms", inMilliseconds(View.ConfigurationAge)},
-      {"learns_from", View.LearnsFrom},
+      {"learns_from", View.Source},
       {"role", View.Role},
       {"state_age_ms", inMilliseconds(View.Age)},
-      {"store_silent", View.StoreIsSilent},
+      {"store_silent", View.IsStoreUnresponsive},
       {"list_sure", View.ListIsSure},
       {"servers", Directory.ById.size()},
       {"servers_usable", Usable},
--- a/Services/Node/status.h
+++ b/Services/Node/status.h
@@ -1,4 +1,4 @@
-/// What a node believes, for an operator who asks.
+/// The status of a node, for operators.
 #pragma once
 
 #include "node.h"
@@ -8,8 +8,9 @@
 
 namespace amaranthhoist {
 
-/// One JSON object: the instance, its configuration's version and age, from
-/// whom it learns and how old that is, and its servers and peers by state.
+/// Encodes one JSON object: the instance, its configuration's version and age,
+/// the source of its state and the state's age, and its servers and peers by
+/// state.
 std::string encodeStatus(const node &Node, const store_sync &Store);
 
 } // namespace amaranthhoist
--- a/Services/Node/store_caller.cpp
+++ b/Services/Node/store_caller.cpp
@@ -4,19 +4,19 @@
 
 namespace amaranthhoist {
 
-/// A store that acknowledges nothing for so long counts as gone, so that a
-/// watch on a connection that died silently doesn't stay blind: changes must
-/// be known within 2.5 s.
-static constexpr duration StoreSilence = std::chrono::milliseconds(1'000);
+/// A store that acknowledges nothing for this long counts as disconnected, so
+/// that a watch on a dead connection is detected: changes must be applied
+/// within 2.5 s.
+static constexpr duration StoreAckTimeout = std::chrono::milliseconds(1'000);
 
-store_caller::store_caller(node &Node, std::string Server)
+store_connection::store_connection(node &Node, std::string Server)
     : Node(Node), Server(std::move(Server)) {}
 
-store_caller::~store_caller() { Node.Loop.cancel(Timer); }
+store_connection::~store_connection() { Node.Loop.cancel(Timer); }
 
-void store_caller::dropConnection() { retireConnection(Node, Connection); }
+void store_connection::dropConnection() { retireConnection(Node, Connection); }
 
-void store_caller::setServer(const std::string &NewServer) {
+void store_connection::setServer(const std::string &NewServer) {
   if (Server == NewServer)
     return;
   abandon();
@@ -24,21 +24,21 @@
   Server = NewServer;
 }
 
-void store_caller::call(std::string_view Method, std::string_view Path,
-                        std::string_view CallBody, duration Time,
-                        std::function<void(store_answer)> WhenDone) {
-  Done = std::move(WhenDone);
+void store_connection::call(std::string_view Method, std::string_view Path,
+                            std::string_view CallBody, duration Timeout,
+                            std::function<void(store_response)> WhenDone) {
+  OnDone = std::move(WhenDone);
   Status = 0;
   Body.clear();
-  Patience = Time;
+  SilenceTimeout = Timeout;
   startTimer();
   if (Connection && !Connection->isOpen())
     dropConnection();
   if (!Connection) {
     auto Endpoint = parseEndpoint(Server);
     Connection = std::make_unique<client_connection>(Node.Loop);
-    if (!Endpoint || !Connection->connect(*Endpoint, StoreSilence)) {
-      // The timer ends the call: calling back at once would recurse.
+    if (!Endpoint || !Connection->connect(*Endpoint, StoreAckTimeout)) {
+      // The timer ends the call: calling back immediately would recurse.
       dropConnection();
       return;
     }
@@ -52,48 +52,48 @@
   Connection->call(*this, Text, /*IsHead=*/false);
 }
 
-void store_caller::startTimer() {
+void store_connection::startTimer() {
   Node.Loop.cancel(Timer);
-  Timer = Node.Loop.after(Patience, [this] {
+  Timer = Node.Loop.after(SilenceTimeout, [this] {
     Timer = 0;
     dropConnection();
     finish(0);
   });
 }
 
-bool store_caller::abandon() {
-  if (!Done)
+bool store_connection::abandon() {
+  if (!OnDone)
     return false;
   Node.Loop.cancel(Timer);
-  Done = nullptr;
+  OnDone = nullptr;
   dropConnection();
   return true;
 }
 
-bool store_caller::onHead(const message_head &Head) {
+bool store_connection::onHead(const message_head &Head) {
   Status = Head.status();
   return true;
 }
 
-void store_caller::onBody(std::string &Piece) {
-  // A long answer over a slow link takes as long as it takes; only silence
-  // ends it.
+void store_connection::onBody(std::string &Piece) {
+  // A long response over a slow link may take any time; only a pause in
+  // received bytes ends it.
   startTimer();
   Body.append(Piece);
   Piece.clear();
 }
 
-void store_caller::onComplete() { finish(Status); }
+void store_connection::onComplete() { finish(Status); }
 
-void store_caller::onFailure(const call_failure & /*Failure*/) {
+void store_connection::onFailure(const call_failure & /*Failure*/) {
   dropConnection();
   finish(0);
 }
 
-void store_caller::finish(int WithStatus) {
+void store_connection::finish(int WithStatus) {
   Node.Loop.cancel(Timer);
-  auto Callback = std::move(Done);
-  Done = nullptr;
+  auto Callback = std::move(OnDone);
+  OnDone = nullptr;
   if (Callback)
     Callback({WithStatus, std::move(Body)});
 }
--- a/Services/Node/store_caller.h
+++ b/Services/Node/store_caller.h
@@ -1,6 +1,6 @@
-/// One connection to the platform's store, or to an instance that hands on its
-/// objects, for one call after another. Every call ends: with an answer, or
-/// with a failure after its time.
+/// One connection to the platform's store, or to an instance that serves its
+/// objects, for one call after another. Every call ends with a response or with
+/// a failure after its timeout.
 #pragma once
 
 #include "HttpConnection/client_connection.h"
@@ -13,30 +13,30 @@
 
 namespace amaranthhoist {
 
-struct store_answer {
-  /// 0: no answer.
+struct store_response {
+  /// 0: no response.
   int Status = 0;
   std::string Body;
 };
 
-class store_caller : private call_owner {
+class store_connection : private call_owner {
 public:
-  store_caller(node &Node, std::string Server);
-  ~store_caller() override;
+  store_connection(node &Node, std::string Server);
+  ~store_connection() override;
 
-  /// Calls \p Server, `ip:port`, from now on.
+  /// Uses \p Server, `ip:port`, for all further calls.
   void setServer(const std::string &NewServer);
 
-  /// Makes a call; \p Done gets its answer. One at a time.
+  /// Starts a call and passes its response to \p Done. Only one call at a time.
   void call(std::string_view Method, std::string_view Path,
-            std::string_view Body, duration Time,
-            std::function<void(store_answer)> Done);
+            std::string_view Body, duration Timeout,
+            std::function<void(store_response)> OnDone);
 
-  /// Drops a call under way, whose callback isn't called; false when there is
-  /// none.
+  /// Cancels the call in flight without calling its callback. Returns false if
+  /// there is none.
   bool abandon();
 
-  [[nodiscard]] bool isBusy() const { return static_cast<bool>(Done); }
+  [[nodiscard]] bool isBusy() const { return static_cast<bool>(OnDone); }
 
 private:
   bool onHead(const message_head &Head) override;
@@ -50,10 +50,10 @@
   node &Node;
   std::string Server;
   std::unique_ptr<client_connection> Connection;
-  std::function<void(store_answer)> Done;
+  std::function<void(store_response)> OnDone;
   timer_id Timer = 0;
-  /// Longest silence of the present call.
-  duration Patience{};
+  /// Maximum time without received bytes during the current call.
+  duration SilenceTimeout{};
   int Status = 0;
   std::string Body;
 };
--- a/Services/Node/store_sync.cpp
+++ b/Services/Node/store_sync.cpp
@@ -5,52 +5,53 @@
 
 namespace amaranthhoist {
 
-/// Time of a write.
-static constexpr duration WriteTime = std::chrono::milliseconds(1'500);
-/// The store is asked for a sign of life this often. When it falls silent it
-/// may forget the watches that wait there, without closing their connections:
-/// a node would stay blind until they time out, while changes must be in force
-/// 2.5 s after they were accepted.
+/// Timeout of a write.
+static constexpr duration WriteTimeout = std::chrono::milliseconds(1'500);
+/// Period of the probes that check whether the store responds. An unresponsive
+/// store may drop pending watches without closing their connections: a node
+/// would miss changes until they time out, while changes must be in force 2.5 s
+/// after they were accepted.
 static constexpr duration ProbePeriod = std::chrono::milliseconds(1'000);
-static constexpr duration ProbePeriodInDoubt = std::chrono::milliseconds(300);
-/// Longer than the store's answers take while it is slow.
-static constexpr duration ProbeTime = std::chrono::milliseconds(700);
+static constexpr duration UnconfirmedProbePeriod =
+    std::chrono::milliseconds(300);
+/// Longer than the store's responses take while it is slow.
+static constexpr duration ProbeTimeout = std::chrono::milliseconds(700);
 static constexpr duration DecisionPeriod = std::chrono::milliseconds(150);
-/// A node that has just started keeps requests for so long at most: the lists
-/// take two round trips over the longest links, 170 ms, and as much again when
-/// all instances start together.
-static constexpr duration LearnTime = std::chrono::milliseconds(400);
-/// An instance that was down for so long is gone; its object is removed. Far
-/// longer than a restart takes.
-static constexpr duration GoneAfter = std::chrono::seconds(30);
+/// Maximum time a node that has just started holds requests: the lists take two
+/// round trips over the longest links, 170 ms, and as much again when all
+/// instances start together.
+static constexpr duration BootstrapTimeout = std::chrono::milliseconds(400);
+/// An instance that was down for this long counts as removed; its object is
+/// deleted. Far longer than a restart takes.
+static constexpr duration DeadInstanceTimeout = std::chrono::seconds(30);
 
 store_sync::store_sync(node &Node,
-                       std::function<void(const std::string &)> Tell)
-    : Node(Node), Tell(std::move(Tell)), Beliefs(Node),
+                       std::function<void(const std::string &)> AnnounceState)
+    : Node(Node), AnnounceState(std::move(AnnounceState)), State(Node),
       Followers{
-          {{Node, Beliefs, object_kind::Configuration, [this] { probeNow(); }},
-           {Node, Beliefs, object_kind::Target, [this] { probeNow(); }},
-           {Node, Beliefs, object_kind::Evacuation, [this] { probeNow(); }},
-           {Node, Beliefs, object_kind::Instance, [this] { probeNow(); }}}},
-      Learner(Node, Beliefs), Relay(Node, Beliefs),
-      Server(Node, Beliefs, [this] { return age(); }), OwnObject(Node, Beliefs),
+          {{Node, State, object_kind::Configuration, [this] { probeNow(); }},
+           {Node, State, object_kind::Target, [this] { probeNow(); }},
+           {Node, State, object_kind::Evacuation, [this] { probeNow(); }},
+           {Node, State, object_kind::Instance, [this] { probeNow(); }}}},
+      Bootstrap(Node, State), Relay(Node, State),
+      Server(Node, State, [this] { return age(); }), Registration(Node, State),
       Prober(Node, Node.Settings.Store), Cleaner(Node, Node.Settings.Store) {}
 
 void store_sync::start() {
   const instant Now = Node.Loop.now();
-  Node.LearnsUntil = Now + LearnTime;
-  Learner.start();
+  Node.BootstrapDeadline = Now + BootstrapTimeout;
+  Bootstrap.start();
   decide();
-  Node.Loop.after(Learner.askStoreAt() - Now, [this] { decide(); });
+  Node.Loop.after(Bootstrap.storeFallbackAt() - Now, [this] { decide(); });
   Node.Loop.every(DecisionPeriod, [this] { decide(); });
 }
 
 instant store_sync::freshAt() const {
-  return std::max({AnsweredAt, Relay.freshAt(), Learner.freshAt()});
+  return std::max({RespondedAt, Relay.freshAt(), Bootstrap.freshAt()});
 }
 
 duration store_sync::age() const {
-  if (IsDirect && !IsInDoubt && Beliefs.knowsAll())
+  if (UsesStore && !IsStoreUnconfirmed && State.hasFullState())
     return duration::zero();
   return Node.Loop.now() - freshAt();
 }
@@ -67,62 +68,63 @@
   return "leaf";
 }
 
-store_view store_sync::view() const {
-  return {IsDirect ? "store" : Relay.sourceName(),
+store_status store_sync::status() const {
+  return {UsesStore ? "store" : Relay.sourceName(),
           roleName(Node.Fleet),
           age(),
-          Beliefs.configurationAge(),
-          HadSilence,
-          Beliefs.listIsSure()};
+          State.configurationAge(),
+          HadProbeTimeout,
+          State.isTargetListComplete()};
 }
 
 void store_sync::decide() {
-  if (!Beliefs.knowsAll())
-    return decideWhileLearning();
-  if (!HasLearned)
-    takeLearned();
+  if (!State.hasFullState())
+    return decideDuringBootstrap();
+  if (!HasFullState)
+    onBootstrapFinished();
   const instant Now = Node.Loop.now();
   const duty_view View{ownRank(Node.Fleet),
                        age(),
-                       Now - std::max(freshAt(), Relay.answeredAt()),
-                       Now - LearnedAt,
-                       IsDirect,
+                       Now - std::max(freshAt(), Relay.respondedAt()),
+                       Now - BootstrappedAt,
+                       UsesStore,
                        WasListed};
-  setDirect(isOnDuty(Duty, View, Now));
-  if (!IsDirect || IsInDoubt)
-    Relay.start(/*OwnCallsAreInVain=*/IsDirect);
+  setUsesStore(isOnDuty(Duty, View, Now));
+  if (!UsesStore || IsStoreUnconfirmed)
+    Relay.start(/*StoreIsUnresponsive=*/UsesStore);
   else
     Relay.stop();
-  if (IsDirect && View.Rank && *View.Rank < WatchersPerRegion)
-    removeDead();
-  OwnObject.maintain();
+  if (UsesStore && View.Rank && *View.Rank < WatchersPerRegion)
+    removeDeadInstances();
+  Registration.maintain();
 }
 
-void store_sync::decideWhileLearning() {
-  if (Learner.mayAskStore())
-    setDirect(true);
+void store_sync::decideDuringBootstrap() {
+  if (Bootstrap.mayAskStore())
+    setUsesStore(true);
 }
 
-/// The node knows all for the first time: it tells others where that can be had
-/// (StateSpread/hand_out.h).
-void store_sync::takeLearned() {
-  HasLearned = true;
-  LearnedAt = Node.Loop.now();
-  WasListed = OwnObject.isListed();
-  const bool FromStore = Learner.source().empty();
+/// Called when the node has full state for the first time. Notifies other
+/// instances that it can serve that state (StateSpread).
+void store_sync::onBootstrapFinished() {
+  HasFullState = true;
+  BootstrappedAt = Node.Loop.now();
+  WasListed = Registration.isListed();
+  const bool FromStore = Bootstrap.source().empty();
   if (FromStore)
-    AnsweredAt = LearnedAt;
+    RespondedAt = BootstrappedAt;
   Node.Log.write(log_kind::Belief, "state_learned",
-                 {{"from", FromStore ? "store" : Learner.source()},
+                 {{"from", FromStore ? "store" : Bootstrap.source()},
                   {"age_ms", age().count() / 1'000}},
                  Node.Loop.now());
-  for (const std::string &Address : Server.takeWaiting())
-    Tell(Address);
-  std::size_t Told = 0;
+  for (const std::string &Address : Server.popWaiting())
+    AnnounceState(Address);
+  std::size_t AnnouncedCount = 0;
   for (const std::string &Name : membersToTell(Node.Fleet, FromStore))
-    Node.Loop.after(
-        Server.timeToHandOut(Told++),
-        [this, Peer = Node.Fleet.Members.at(Name).Peer] { Tell(Peer); });
+    Node.Loop.after(Server.timeToHandOut(AnnouncedCount++),
+                    [this, Peer = Node.Fleet.Members.at(Name).Peer] {
+                      AnnounceState(Peer);
+                    });
 }
 
 void store_sync::startFollowers() {
@@ -130,99 +132,105 @@
     Follower.startOrRestart();
 }
 
-void store_sync::setDirect(bool IsWanted) {
-  if (IsWanted == IsDirect)
+void store_sync::setUsesStore(bool IsWanted) {
+  if (IsWanted == UsesStore)
     return;
-  IsDirect = IsWanted;
-  HadSilence = false;
-  // Calls to a silent store would hang unnoticed: it has to answer first. When
-  // nothing is known yet there is nothing that could be waited for in vain, and
-  // the lists needn't wait for a first sign of life. With 35 ms one way to the
-  // store a node knows what is in force 170 ms after its start, not after 330.
-  IsInDoubt = IsDirect && Beliefs.knowsAll();
-  if (IsDirect)
+  UsesStore = IsWanted;
+  HadProbeTimeout = false;
+  // Calls to an unresponsive store would hang undetected, so it has to respond
+  // to a probe first. Without full state there is no pending watch to lose, and
+  // the lists don't have to wait for a first probe: with 35 ms one way to the
+  // store a node has the state in force 170 ms after its start instead of 330
+  // ms.
+  IsStoreUnconfirmed = UsesStore && State.hasFullState();
+  if (UsesStore)
     probe();
-  if (IsDirect && !IsInDoubt)
+  if (UsesStore && !IsStoreUnconfirmed)
     startFollowers();
-  if (!IsDirect)
+  if (!UsesStore)
     for (kind_follower &Follower : Followers)
       Follower.stop();
   Node.Log.write(log_kind::Belief,
-                 IsDirect ? "asks_store_itself" : "asks_peers", {},
+                 UsesStore ? "asks_store_itself" : "asks_peers", {},
                  Node.Loop.now());
 }
 
-/// A call failed. The next probe needn't be waited for to know that the store
-/// doesn't answer: its watchers' region would be a second longer without news.
+/// Called when a call failed. Probes the store immediately instead of waiting
+/// for the next probe, which would delay changes in its watchers' region by a
+/// second.
 void store_sync::probeNow() {
-  if (IsDirect && !IsInDoubt && !Prober.isBusy())
+  if (UsesStore && !IsStoreUnconfirmed && !Prober.isBusy())
     probe();
 }
 
 void store_sync::probe() {
   Node.Loop.cancel(NextProbe);
-  if (!IsDirect)
+  if (!UsesStore)
     return;
-  NextProbe = Node.Loop.after(IsInDoubt ? ProbePeriodInDoubt : ProbePeriod,
-                              [this] { probe(); });
-  // A slow answer may take longer than the period in doubt.
+  NextProbe =
+      Node.Loop.after(IsStoreUnconfirmed ? UnconfirmedProbePeriod : ProbePeriod,
+                      [this] { probe(); });
+  // A slow response may take longer than the period while the store is
+  // unconfirmed.
   if (Prober.isBusy())
     return;
   Node.Metrics.count("amaranthhoist_store_probes_total");
-  Prober.call(
-      "GET", platform::encodeProbePath(object_kind::Evacuation), {}, ProbeTime,
-      [this](const store_answer &Answer) { takeProbe(Answer.Status == 200); });
+  Prober.call("GET", platform::encodeProbePath(object_kind::Evacuation), {},
+              ProbeTimeout, [this](const store_response &Response) {
+                handleProbeResult(Response.Status == 200);
+              });
 }
 
-void store_sync::takeProbe(bool IsAnswered) {
-  if (!IsDirect)
+void store_sync::handleProbeResult(bool IsAnswered) {
+  if (!UsesStore)
     return;
   if (!IsAnswered) {
-    if (!HadSilence)
+    if (!HadProbeTimeout)
       Node.Log.write(log_kind::Belief, "store_silent", {}, Node.Loop.now());
-    IsInDoubt = true;
-    HadSilence = true;
-    // A silent store prices each call that it doesn't answer; the probes alone
-    // tell when it is back.
+    IsStoreUnconfirmed = true;
+    HadProbeTimeout = true;
+    // An unresponsive store charges for each call that it doesn't respond to;
+    // the probes alone detect its recovery.
     for (kind_follower &Follower : Followers)
       Follower.pause();
-    Beliefs.noteTrouble();
+    State.onStoreOutage();
     decide();
     return;
   }
-  AnsweredAt = Node.Loop.now();
-  if (IsInDoubt)
-    takeReturn();
+  RespondedAt = Node.Loop.now();
+  if (IsStoreUnconfirmed)
+    onStoreResponsive();
 }
 
-/// The store answers, for the first time or again.
-void store_sync::takeReturn() {
-  IsInDoubt = false;
-  if (HadSilence) {
+/// Called when the store responds, for the first time or again.
+void store_sync::onStoreResponsive() {
+  IsStoreUnconfirmed = false;
+  if (HadProbeTimeout) {
     Node.Log.write(log_kind::Belief, "store_answers", {}, Node.Loop.now());
-    Beliefs.noteTrouble();
+    State.onStoreOutage();
   }
-  HadSilence = false;
+  HadProbeTimeout = false;
   startFollowers();
 }
 
-/// Nothing in the store expires by itself: the objects of instances that are
-/// gone would be listed, probed and counted for ever.
-void store_sync::removeDead() {
+/// Deletes the objects of dead instances. Nothing in the store expires by
+/// itself: they would be listed, probed and counted forever.
+void store_sync::removeDeadInstances() {
   const instant Now = Node.Loop.now();
   const auto &Down = downMembers(Node.Fleet.Membership);
   std::erase_if(DownSince,
                 [&](const auto &Entry) { return !Down.contains(Entry.first); });
   for (const std::string &Name : Down) {
     const instant Since = DownSince.try_emplace(Name, Now).first->second;
-    if (Now - Since < GoneAfter || IsInDoubt || Cleaner.isBusy())
+    if (Now - Since < DeadInstanceTimeout || IsStoreUnconfirmed ||
+        Cleaner.isBusy())
       continue;
     DownSince[Name] = Now;
     Node.Log.write(log_kind::Belief, "instance_gone", {{"peer", Name}}, Now);
     Cleaner.call(
         "DELETE",
         platform::encodeObjectPath(object_kind::Instance, Name, std::nullopt),
-        {}, WriteTime, [](const store_answer & /*Answer*/) {});
+        {}, WriteTimeout, [](const store_response & /*Answer*/) {});
   }
 }
 
--- a/Services/Node/store_sync.h
+++ b/Services/Node/store_sync.h
@@ -1,7 +1,7 @@
-/// Decides from whom the node learns the store's objects: from peers while they
-/// know, from the store itself when it is this node's turn (StateSpread). Tells
-/// others where the state is after a start, and keeps this node's own object in
-/// the store.
+/// Selects the source of the store's objects: peers while they have fresh
+/// state, the store itself when this node is one of its watchers (StateSpread).
+/// Notifies other instances of available state after a start, and maintains
+/// this node's own object in the store.
 #pragma once
 
 #include "StateSpread/store_duty.h"
@@ -19,72 +19,76 @@
 
 namespace amaranthhoist {
 
-/// What operators are told of the node's link to the store.
-struct store_view {
-  /// "store", or the name of the instance that is asked.
-  std::string LearnsFrom;
-  /// What it does for others: "watcher", "relay" or "leaf".
+/// The node's connection to the store, as shown to operators.
+struct store_status {
+  /// "store", or the name of the instance that is polled.
+  std::string Source;
+  /// Its role for other instances: "watcher", "relay" or "leaf".
   std::string_view Role;
-  /// How long ago the state was fresh at the store, at best.
+  /// Lower bound of the time since the state was fresh at the store.
   duration Age{};
-  /// Since the configuration in force was applied; zero: none yet.
+  /// Time since the configuration in force was applied; zero if there is none
+  /// yet.
   duration ConfigurationAge{};
-  bool StoreIsSilent = false;
+  bool IsStoreUnresponsive = false;
   bool ListIsSure = false;
 };
 
 class store_sync {
 public:
-  /// \p Tell tells the instance that takes datagrams at an address that this
-  /// one has the state.
-  store_sync(node &Node, std::function<void(const std::string &)> Tell);
+  /// \p AnnounceState notifies the instance that receives datagrams at an
+  /// address that this one has the state.
+  store_sync(node &Node,
+             std::function<void(const std::string &)> AnnounceState);
 
   void start();
-  /// An instance with the control address \p Control lives.
-  void hear(const std::string &Control) { Learner.hear(Control); }
-  /// The answer to an instance that asks what changed.
-  small_answer answerPeer(std::string_view Query) {
-    return Server.answer(Query);
+  /// Called when an instance with the control address \p Control is alive.
+  void onSourceAnnounced(const std::string &Control) {
+    Bootstrap.onSourceAnnounced(Control);
   }
-  [[nodiscard]] store_view view() const;
+  /// Responds to an instance that asks for changes.
+  small_answer handlePeerQuery(std::string_view Query) {
+    return Server.handleQuery(Query);
+  }
+  [[nodiscard]] store_status status() const;
 
 private:
   void decide();
-  void decideWhileLearning();
-  void takeLearned();
-  void setDirect(bool IsWanted);
-  /// How long ago the state was fresh at the store, at best.
+  void decideDuringBootstrap();
+  void onBootstrapFinished();
+  void setUsesStore(bool IsWanted);
+  /// Lower bound of the time since the state was fresh at the store.
   duration age() const;
   instant freshAt() const;
   void startFollowers();
   void probe();
   void probeNow();
-  void takeProbe(bool IsAnswered);
-  void takeReturn();
-  void removeDead();
+  void handleProbeResult(bool IsAnswered);
+  void onStoreResponsive();
+  void removeDeadInstances();
 
   node &Node;
-  std::function<void(const std::string &)> Tell;
-  beliefs Beliefs;
+  std::function<void(const std::string &)> AnnounceState;
+  replicated_state State;
   std::array<kind_follower, ObjectKinds> Followers;
-  learner Learner;
+  state_bootstrap Bootstrap;
   relay_link Relay;
   state_server Server;
-  own_object OwnObject;
-  store_caller Prober;
-  store_caller Cleaner;
+  instance_registration Registration;
+  store_connection Prober;
+  store_connection Cleaner;
   store_duty Duty;
-  bool HasLearned = false;
-  instant LearnedAt{};
-  /// Whether this node's object was listed then.
+  bool HasFullState = false;
+  instant BootstrappedAt{};
+  /// Whether this node's object was listed when bootstrap finished.
   bool WasListed = false;
-  bool IsDirect = false;
-  /// Whether the store's next answer is awaited before anything is asked.
-  bool IsInDoubt = false;
-  /// Whether a probe went unanswered since the last answer.
-  bool HadSilence = false;
+  bool UsesStore = false;
+  /// Whether the store has to respond to a probe before anything else is asked.
+  bool IsStoreUnconfirmed = false;
+  /// Whether a probe timed out since the last response.
+  bool HadProbeTimeout = false;
   timer_id NextProbe = 0;
-  instant AnsweredAt{};
+  instant RespondedAt{};
   std::map<std::string, instant> DownSince;
 };
 
--- a/Services/Node/target_pool.cpp
+++ b/Services/Node/target_pool.cpp
@@ -4,80 +4,83 @@
 
 namespace amaranthhoist {
 
-/// A server that hasn't told how long it keeps connections is taken to keep
-/// them this long; common servers keep them 5 s or longer.
-static constexpr duration AssumedKept = std::chrono::seconds(5);
-/// Left out at the end of that time: a close that crosses a request leaves
-/// open whether the request was run.
-static constexpr duration KeptMargin = std::chrono::milliseconds(1'500);
-/// Non-idempotent work can't be sent again after such a crossing, so it only
-/// takes connections that were in use this lately.
-static constexpr duration FreshForWrites = std::chrono::milliseconds(3'000);
-/// Idle connections to one server: more are only needed in bursts.
-static constexpr std::size_t MostIdle = 6;
-/// A peer that acknowledges nothing for so long counts as gone. Several round
-/// trips between regions, and well under every deadline.
-static constexpr duration Silence = std::chrono::milliseconds(1'200);
+/// Keep-alive time assumed for a server that does not announce one; common
+/// servers keep connections 5 s or longer.
+static constexpr duration DefaultKeepAlive = std::chrono::seconds(5);
+/// Safety margin at the end of the keep-alive time: when a close crosses a
+/// request, it is unknown whether the request was run.
+static constexpr duration KeepAliveMargin = std::chrono::milliseconds(1'500);
+/// Non-idempotent requests can't be retried after such a crossing, so they only
+/// use connections that were in use this recently.
+static constexpr duration MaxIdleForNonIdempotent =
+    std::chrono::milliseconds(3'000);
+/// Maximum number of idle connections to one server; more are only needed in
+/// bursts.
+static constexpr std::size_t MaxIdlePerTarget = 6;
+/// A peer that acknowledges nothing for this long counts as disconnected:
+/// several round trips between regions, and well under every deadline.
+static constexpr duration AckTimeout = std::chrono::milliseconds(1'200);
 static constexpr duration SweepPeriod = std::chrono::seconds(1);
 
 target_pool::target_pool(node &Node) : Node(Node), Crashes(Node) {
-  Node.Loop.every(SweepPeriod, [this] { sweep(); });
+  Node.Loop.every(SweepPeriod, [this] { closeStaleConnections(); });
 }
 
-bool target_pool::isFresh(const client_connection &Connection,
-                          work_class Class) const {
+bool target_pool::mayReuse(const client_connection &Connection,
+                           work_class Class) const {
   if (!Connection.isOpen())
     return false;
-  const duration Kept =
-      Connection.KeptFor > duration::zero() ? Connection.KeptFor : AssumedKept;
-  duration Usable = Kept - KeptMargin;
+  const duration Kept = Connection.KeptFor > duration::zero()
+                            ? Connection.KeptFor
+                            : DefaultKeepAlive;
+  duration Usable = Kept - KeepAliveMargin;
   if (Class == work_class::NonIdempotent)
-    Usable = std::min(Usable, FreshForWrites);
+    Usable = std::min(Usable, MaxIdleForNonIdempotent);
   return Node.Loop.now() - Connection.IdleSince < Usable;
 }
 
-std::unique_ptr<client_connection> target_pool::take(const target &Target,
-                                                     work_class Class) {
+std::unique_ptr<client_connection> target_pool::acquire(const target &Target,
+                                                        work_class Class) {
   auto Found = Idle.find(Target.Serial);
   if (Found == Idle.end())
     return nullptr;
   auto &Connections = Found->second;
   while (!Connections.empty() && !Connections.back()->isOpen())
     Connections.pop_back();
-  // The last one is the freshest of all.
-  if (Connections.empty() || !isFresh(*Connections.back(), Class))
+  // The last connection is the most recently used.
+  if (Connections.empty() || !mayReuse(*Connections.back(), Class))
     return nullptr;
   auto Connection = std::move(Connections.back());
   Connections.pop_back();
   return Connection;
 }
 
-std::unique_ptr<client_connection> target_pool::open(const target &Target) {
+std::unique_ptr<client_connection> target_pool::connect(const target &Target) {
   auto Endpoint = parseEndpoint(Target.Entry.Address);
   if (!Endpoint)
     return nullptr;
   auto Connection = std::make_unique<client_connection>(Node.Loop);
-  if (!Connection->connect(*Endpoint, Silence))
+  if (!Connection->connect(*Endpoint, AckTimeout))
     return nullptr;
   return Connection;
 }
 
-void target_pool::put(const target &Target,
-                      std::unique_ptr<client_connection> Connection) {
+void target_pool::release(const target &Target,
+                          std::unique_ptr<client_connection> Connection) {
   auto &Connections = Idle[Target.Serial];
-  if (Connections.size() < MostIdle)
+  if (Connections.size() < MaxIdlePerTarget)
     Connections.push_back(std::move(Connection));
   else
     Connection->close();
 }
 
-void target_pool::sweep() {
+void target_pool::closeStaleConnections() {
   absl::flat_hash_set<std::uint64_t> Known;
   for (const auto &[Id, Target] : Node.Steering.Targets.ById)
     Known.insert(Target->Serial);
   absl::erase_if(Idle, [&](auto &Entry) {
     std::erase_if(Entry.second, [&](const auto &Connection) {
-      return !isFresh(*Connection, work_class::Idempotent);
+      return !mayReuse(*Connection, work_class::Idempotent);
     });
     return Entry.second.empty() || !Known.contains(Entry.first);
   });
