--- a/Services/Node/caller_connection.h
+++ b/Services/Node/caller_connection.h
@@ -5,9 +5,9 @@
 
 #include "EventLoop/stream.h"
 #include "HttpMessage/http_message.h"
-#include "answer_slot.h"
 #include "exchange.h"
 #include "node.h"
+#include "response_slot.h"
 #include "target_pool.h"
 
 #include <deque>
--- a/Services/Node/own_object.cpp
+++ b/Services/Node/instance_registration.cpp
@@ -1,4 +1,4 @@
-#include "own_object.h"
+#include "instance_registration.h"
 
 #include "codec.h"
 
--- a/Services/Node/own_object.h
+++ b/Services/Node/instance_registration.h
@@ -2,9 +2,9 @@
 /// fleet.
 #pragma once
 
-#include "beliefs.h"
 #include "node.h"
-#include "store_caller.h"
+#include "replicated_state.h"
+#include "store_connection.h"
 
 namespace amaranthhoist {
 
--- a/Services/Node/kind_follower.h
+++ b/Services/Node/kind_follower.h
@@ -3,9 +3,9 @@
 
 #include "ObjectCache/object_cache.h"
 #include "StoreClient/list_watch.h"
-#include "beliefs.h"
 #include "node.h"
-#include "store_caller.h"
+#include "replicated_state.h"
+#include "store_connection.h"
 
 #include <functional>
 #include <string_view>
--- a/Services/Node/relay_link.h
+++ b/Services/Node/relay_link.h
@@ -2,9 +2,9 @@
 /// so that a dead source is detected within one.
 #pragma once
 
-#include "beliefs.h"
 #include "node.h"
-#include "store_caller.h"
+#include "replicated_state.h"
+#include "store_connection.h"
 
 #include <cstdint>
 #include <string>
--- a/Services/Node/beliefs.cpp
+++ b/Services/Node/replicated_state.cpp
@@ -1,4 +1,4 @@
-#include "beliefs.h"
+#include "replicated_state.h"
 
 #include "codec.h"
 
--- a/Services/Node/answer_slot.cpp
+++ b/Services/Node/response_slot.cpp
@@ -1,4 +1,4 @@
-#include "answer_slot.h"
+#include "response_slot.h"
 
 namespace amaranthhoist {
 
--- a/Services/Node/learner.cpp
+++ b/Services/Node/state_bootstrap.cpp
@@ -1,4 +1,4 @@
-#include "learner.h"
+#include "state_bootstrap.h"
 
 #include "PeerMessages/peer_messages.h"
 #include "state_server.h"
--- a/Services/Node/learner.h
+++ b/Services/Node/state_bootstrap.h
@@ -2,9 +2,9 @@
 #pragma once
 
 #include "StateSpread/learning.h"
-#include "beliefs.h"
 #include "node.h"
-#include "store_caller.h"
+#include "replicated_state.h"
+#include "store_connection.h"
 
 #include <string>
 
--- a/Services/Node/state_server.h
+++ b/Services/Node/state_server.h
@@ -5,8 +5,8 @@
 #include "HttpConnection/small_server.h"
 #include "PeerMessages/peer_messages.h"
 #include "StateSpread/hand_out.h"
-#include "beliefs.h"
 #include "node.h"
+#include "replicated_state.h"
 
 #include <functional>
 #include <string>
--- a/Services/Node/store_caller.cpp
+++ b/Services/Node/store_connection.cpp
@@ -1,4 +1,4 @@
-#include "store_caller.h"
+#include "store_connection.h"
 
 #include "Text/text.h"
 
--- a/Services/Node/store_sync.h
+++ b/Services/Node/store_sync.h
@@ -5,14 +5,14 @@
 #pragma once
 
 #include "StateSpread/store_duty.h"
-#include "beliefs.h"
+#include "instance_registration.h"
 #include "kind_follower.h"
-#include "learner.h"
 #include "node.h"
-#include "own_object.h"
 #include "relay_link.h"
+#include "replicated_state.h"
+#include "state_bootstrap.h"
 #include "state_server.h"
-#include "store_caller.h"
+#include "store_connection.h"
 
 #include <array>
 #include <functional>
