--- /dev/null
+++ b/Services/Node/replicated_state.h
@@ -0,0 +1,54 @@
+/// Applies the store's objects, from whichever source, to the node's state: its
+/// configuration, servers, evacuated failure domains and fleet.
+#pragma once
+
+#include "ObjectCache/object_cache.h"
+#include "Targets/list_completeness.h"
+#include "node.h"
+
+#include <string>
+#include <string_view>
+
+namespace amaranthhoist {
+
+class replicated_state {
+public:
+  explicit replicated_state(node &Node);
+
+  /// Applies changes; ignores those older than the cached state.
+  void update(kind_changes Changes);
+
+  /// Called when the store stops responding, and when it responds again.
+  void onStoreOutage();
+  /// Called with a peer's fresh state: whether its server list is complete.
+  void onPeerListState(bool ListIsSure);
+  [[nodiscard]] bool isTargetListComplete() const;
+
+  /// Returns whether a full list of every kind has been received.
+  [[nodiscard]] bool hasFullState() const;
+  /// Time since the configuration in force was applied; zero if there is none
+  /// yet.
+  [[nodiscard]] duration configurationAge() const;
+  [[nodiscard]] const object_cache &cache() const { return Cache; }
+
+private:
+  void apply(object_kind Kind, const object_change &Change);
+  void applyConfigurationText(const std::string &Text);
+  void applyTarget(const object_change &Change);
+  void applyEvacuation(const object_change &Change);
+  void applyInstances();
+  void logUnreadable(object_kind Kind, std::string_view Name,
+                     std::string_view Why);
+  void runMaintenance();
+  void logRegionSpillover();
+
+  node &Node;
+  object_cache Cache;
+  list_trust Trust;
+  instant ConfigurationAppliedAt{};
+  /// Last logged share of the requests that spill over to all regions, by
+  /// service.
+  text_map<double> LoggedSpillover;
+};
+
+} // namespace amaranthhoist
