--- a/Libraries/Budget/budget.cpp
+++ b/Libraries/Budget/budget.cpp
@@ -5,12 +5,13 @@
 
 namespace amaranthhoist {
 
-/// Pauses between updates that weren't written. After a conflict the newer
-/// record is about to arrive; after silence the platform is likely to be away,
-/// and at the letter's size 1,900 holders must not knock at once.
-static constexpr duration FirstConflictPause = std::chrono::milliseconds(25);
-static constexpr duration FirstSilencePause = std::chrono::seconds(1);
-static constexpr duration LastPause = std::chrono::seconds(30);
+/// Backoff after updates that were not written. After a conflict the newer
+/// record is about to arrive; after a missing response the platform is probably
+/// unavailable, and in a fleet of the required size 1,900 holders must not send
+/// their updates at once.
+static constexpr duration FirstConflictBackoff = std::chrono::milliseconds(25);
+static constexpr duration FirstNoResponseBackoff = std::chrono::seconds(1);
+static constexpr duration MaxBackoff = std::chrono::seconds(30);
 
 static std::int64_t amountOf(const amounts &Amounts, const std::string &Name) {
   auto Found = Amounts.find(Name);
@@ -25,9 +26,9 @@
   return Sum;
 }
 
-/// An operator may lower a limit below the sum of the rows. Until the rows
-/// follow, every holder scales its own grant by the same factor, so the sum in
-/// use is below the new limit as soon as each has heard of it.
+/// An operator may lower a limit below the sum of the rows. Until the rows are
+/// adjusted, every holder scales its own grant by the same factor, so the sum
+/// in use is below the new limit as soon as each holder has received it.
 static std::int64_t scaledGrant(const budget_holder &Holder,
                                 const std::string &Resource,
                                 std::int64_t Granted) {
@@ -95,9 +96,10 @@
 }
 
 void observeRecord(budget_holder &Holder, const pool_record &Record) {
-  // A delayed read of an older version, or of the version on which our own
-  // unanswered update is based, would raise the grant while that update still
-  // may lower the row. Only a newer version proves that it can't any more.
+  // A delayed read of an older version, or of the version on which this
+  // holder's own unconfirmed update is based, would raise the grant while that
+  // update may still lower the row. Only a newer version proves that the update
+  // can no longer take effect.
   if (Record.Version <= Holder.Record.Version)
     return;
   Holder.Record = Record;
@@ -111,11 +113,11 @@
     Holder.Dead.try_emplace(Incarnation, Now);
 }
 
-/// The dead whose last request, and last request on units borrowed from them,
-/// has surely ended.
-static std::set<std::string> reclaimable(const budget_holder &Holder,
-                                         const budget_timing &Timing,
-                                         instant Now) {
+/// Dead holders whose last request, and the last request on units borrowed from
+/// them, has certainly ended.
+static std::set<std::string> reclaimableHolders(const budget_holder &Holder,
+                                                const budget_timing &Timing,
+                                                instant Now) {
   std::set<std::string> Names;
   for (const auto &[Incarnation, Since] : Holder.Dead)
     if (Now >= Since + Timing.ReclaimDelay)
@@ -123,9 +125,10 @@
   return Names;
 }
 
-/// Equal parts of a limit, in quanta. The remainder starts at a row that
-/// depends on the resource, so that all holders compute the same split from the
-/// same record and no row gets every target's odd slot.
+/// Divides a limit into equal parts, in quanta. The row that gets the first
+/// unit of the remainder depends on the resource, so that all holders compute
+/// the same division from the same record and no single row gets the odd slot
+/// of every target.
 static std::int64_t fairUnits(const pool_record &Record,
                               const std::string &Self,
                               const std::string &Resource, std::int64_t Limit,
@@ -155,8 +158,8 @@
   return Row + std::min(Free / Quantum * Quantum, Fair - Row);
 }
 
-static void forgetLoansOfDead(budget_holder &Holder,
-                              const std::set<std::string> &Names) {
+static void removeLoansOfDeadHolders(budget_holder &Holder,
+                                     const std::set<std::string> &Names) {
   std::erase_if(Holder.Given, [&](const auto &Entry) {
     if (!Names.contains(Entry.second.Peer))
       return false;
@@ -170,8 +173,9 @@
 
 std::optional<pool_record>
 planUpdate(budget_holder &Holder, const budget_timing &Timing, instant Now) {
-  const std::set<std::string> Gone = reclaimable(Holder, Timing, Now);
-  forgetLoansOfDead(Holder, Gone);
+  const std::set<std::string> Reclaimable =
+      reclaimableHolders(Holder, Timing, Now);
+  removeLoansOfDeadHolders(Holder, Reclaimable);
   if (Now < Holder.NextUpdate)
     return std::nullopt;
   if (Holder.Pending) {
@@ -180,8 +184,9 @@
     return Holder.Pending->Proposed;
   }
   pool_record Next = Holder.Record;
-  std::erase_if(Next.Shares,
-                [&](const auto &Row) { return Gone.contains(Row.first); });
+  std::erase_if(Next.Shares, [&](const auto &Row) {
+    return Reclaimable.contains(Row.first);
+  });
   Next.Shares.try_emplace(Holder.Self);
   amounts &Own = Next.Shares[Holder.Self];
   for (const auto &[Resource, Limit] : Holder.Limits)
@@ -201,8 +206,9 @@
 std::optional<pool_record> planLeave(budget_holder &Holder,
                                      const budget_timing &Timing, instant Now) {
   // A dead borrower returns nothing and a dead lender confirms nothing: without
-  // this, a holder that leaves waits for them until its process's limit.
-  forgetLoansOfDead(Holder, reclaimable(Holder, Timing, Now));
+  // this, a holder that shuts down would wait for them until the shutdown limit
+  // of its process.
+  removeLoansOfDeadHolders(Holder, reclaimableHolders(Holder, Timing, Now));
   if (Holder.Pending) {
     if (!std::exchange(Holder.Pending->Repeat, false))
       return std::nullopt;
@@ -222,11 +228,12 @@
   return Next;
 }
 
-/// Doubles from \p First to LastPause; the second half is the holder's own.
-static duration pauseAfter(const budget_holder &Holder, duration First) {
+/// Backoff that doubles from \p First to MaxBackoff; the second half of each
+/// pause is spread by the holder's id.
+static duration backoffAfter(const budget_holder &Holder, duration First) {
   const std::int32_t Failures = Holder.FailedUpdates;
   const duration Whole =
-      std::min(LastPause, First * (1 << std::min(Failures, 10)));
+      std::min(MaxBackoff, First * (1 << std::min(Failures, 10)));
   const auto Half = static_cast<std::uint64_t>(Whole.count() / 2);
   const std::uint64_t Own =
       stableHash(Holder.Self, static_cast<std::uint64_t>(Failures)) % Half;
@@ -236,17 +243,17 @@
 void updateAnswered(budget_holder &Holder, const pool_record &Proposed,
                     update_result Result, std::int64_t NewVersion,
                     instant Now) {
-  // Conflict: a newer version exists and will be observed. Uncertain: the
-  // write may take effect at any time, so the lower of both grants holds until
-  // a newer version is seen.
+  // Conflict: a newer version exists and will be received. Uncertain: the write
+  // may take effect at any time, so the lower of both grants applies until a
+  // newer version is received.
   if (Result == update_result::Uncertain && Holder.Pending)
     Holder.Pending->Repeat = true;
   if (Result != update_result::Written) {
     ++Holder.FailedUpdates;
     Holder.NextUpdate =
-        Now + pauseAfter(Holder, Result == update_result::Conflict
-                                     ? FirstConflictPause
-                                     : FirstSilencePause);
+        Now + backoffAfter(Holder, Result == update_result::Conflict
+                                       ? FirstConflictBackoff
+                                       : FirstNoResponseBackoff);
     return;
   }
   Holder.FailedUpdates = 0;
--- a/Libraries/Budget/loans.cpp
+++ b/Libraries/Budget/loans.cpp
@@ -6,8 +6,8 @@
 
 using kind = loan_message::kind;
 
-static loan_message makeMessage(kind Kind, const std::string &Id,
-                                const loan &Loan) {
+static loan_message makeLoanMessage(kind Kind, const std::string &Id,
+                                    const loan &Loan) {
   return {Kind, {}, Id, Loan.Resource, Loan.Units};
 }
 
@@ -20,8 +20,8 @@
   return {Peer, {kind::Borrow, {}, Id, Resource, Units}};
 }
 
-/// A lender keeps half of what is idle, so two holders that are both short
-/// don't pass the same units back and forth.
+/// The lender keeps half of its idle units, so that two holders which are both
+/// short do not pass the same units back and forth.
 static std::int64_t unitsToLend(const budget_holder &Holder,
                                 const loan_message &Message, instant Now) {
   auto Found = Holder.Shares.find(Message.Resource);
@@ -47,19 +47,20 @@
     const std::int64_t Units = unitsToLend(Holder, Message, Now);
     if (Units == 0)
       return {};
-    // Counted as lent before the borrower can hear of it.
+    // The units count as lent before the borrower can receive the message.
     Holder.Shares[Message.Resource].Lent += Units;
     Known = Holder.Given
                 .emplace(Message.LoanId,
                          loan{From, Message.Resource, Units, instant{}})
                 .first;
   }
-  return {{From, makeMessage(kind::Lend, Message.LoanId, Known->second)}};
+  return {{From, makeLoanMessage(kind::Lend, Message.LoanId, Known->second)}};
 }
 
-/// Renewal extends the lease from the time of receipt. The lender is alive when
-/// it sends, and waits ReclaimDelay after its proved death, which is longer
-/// than any lease that a message under way may still start.
+/// A renewal extends the lease from the time of receipt. The lender is alive
+/// when it sends, and its units are reclaimed only ReclaimDelay after its
+/// proved death, which is longer than any lease that a message in flight may
+/// still start.
 static std::vector<outgoing_loan_message>
 acceptLoan(budget_holder &Holder, const std::string &From,
            const loan_message &Message, const budget_timing &Timing,
@@ -72,18 +73,19 @@
   }
   const loan Loan{From, Message.Resource, Message.Units,
                   Now + Timing.LoanLease};
-  // Without this check a late copy of a loan already returned would be taken
-  // again while the lender uses the same units: two requests on one unit. It is
-  // answered, or the lender would count it as lent for good.
+  // Without this check a delayed copy of a loan that was already returned would
+  // be accepted again while the lender uses the same units: two requests on one
+  // unit. The reply returns the loan, as the lender would otherwise count it as
+  // lent forever.
   if (Holder.Requested.erase(Message.LoanId) == 0 || Holder.Dead.contains(From))
-    return {{From, makeMessage(kind::Return, Message.LoanId, Loan)}};
+    return {{From, makeLoanMessage(kind::Return, Message.LoanId, Loan)}};
   Holder.Taken.emplace(Message.LoanId, Loan);
   return {};
 }
 
 static std::vector<outgoing_loan_message>
-takeBack(budget_holder &Holder, const std::string &From,
-         const loan_message &Message) {
+acceptReturn(budget_holder &Holder, const std::string &From,
+             const loan_message &Message) {
   auto Known = Holder.Given.find(Message.LoanId);
   if (Known != Holder.Given.end()) {
     Holder.Shares[Known->second.Resource].Lent -= Known->second.Units;
@@ -104,7 +106,7 @@
   case kind::Lend:
     return acceptLoan(Holder, From, Message, Timing, Now);
   case kind::Return:
-    return takeBack(Holder, From, Message);
+    return acceptReturn(Holder, From, Message);
   case kind::Returned:
     Holder.Returning.erase(Message.LoanId);
     return {};
@@ -112,8 +114,9 @@
   return {};
 }
 
-/// A loan goes back only when what is left still covers the work in progress:
-/// a unit under a long export returns when the export ends, never by time.
+/// A loan is returned only when the remaining units still cover the work in
+/// progress: a unit in use by a long export is returned when the export ends,
+/// never by time.
 static void returnIdleLoans(budget_holder &Holder) {
   for (auto Loan = Holder.Taken.begin(); Loan != Holder.Taken.end();) {
     const share &Share = Holder.Shares[Loan->second.Resource];
@@ -141,9 +144,9 @@
   returnIdleLoans(Holder);
   std::vector<outgoing_loan_message> Messages;
   for (const auto &[Id, Loan] : Holder.Given)
-    Messages.push_back({Loan.Peer, makeMessage(kind::Lend, Id, Loan)});
+    Messages.push_back({Loan.Peer, makeLoanMessage(kind::Lend, Id, Loan)});
   for (const auto &[Id, Loan] : Holder.Returning)
-    Messages.push_back({Loan.Peer, makeMessage(kind::Return, Id, Loan)});
+    Messages.push_back({Loan.Peer, makeLoanMessage(kind::Return, Id, Loan)});
   return Messages;
 }
 
--- a/Tests/budget_test.cpp
+++ b/Tests/budget_test.cpp
@@ -1,5 +1,5 @@
-// Budgets: the sum in use never passes the limit, whatever messages and writes
-// do.
+// Budgets: the sum in use never exceeds the limit, with any order and loss of
+// messages and writes.
 
 #include "Budget/budget.h"
 
@@ -19,7 +19,8 @@
   return Holder;
 }
 
-/// Writes what the holder wants, if anything, to \p Store.
+/// Writes the holder's next planned update, if any, to \p Store. Returns
+/// whether it was written.
 bool write(budget_holder &Holder, pool_record &Store, instant Now) {
   const auto Next = planUpdate(Holder, {}, Now);
   if (!Next)
@@ -40,7 +41,7 @@
 TEST_GROUP(Budget) {};
 // clang-format on
 
-TEST(Budget, OneHolderGetsAll) {
+TEST(Budget, SingleHolderGetsFullLimit) {
   budget_holder Holder = makeHolder("a");
   pool_record Store;
   LONGS_EQUAL(0, availableUnits(Holder, "power", Start));
@@ -48,9 +49,10 @@
   LONGS_EQUAL(100, availableUnits(Holder, "power", Start));
 }
 
-// Symptom: a joiner and the old holder use the same units. Sequence: the joiner
-// raises before the old one has lowered. Prevented by giver first.
-TEST(Budget, AJoinerGetsOnlyWhatWasGivenUp) {
+// Regression: a new holder and an existing holder used the same units when the
+// new holder raised its share before the existing one had lowered its own. The
+// existing holder must lower its own share first.
+TEST(Budget, NewHolderGetsOnlyReleasedUnits) {
   budget_holder First = makeHolder("a");
   budget_holder Second = makeHolder("b");
   pool_record Store;
@@ -61,7 +63,7 @@
   write(Second, Store, Start);
   LONGS_EQUAL(0, availableUnits(Second, "power", Start));
   observeRecord(First, Store);
-  // It gives up what is idle, and no unit under work.
+  // The holder gives up its idle units and keeps every unit in use.
   write(First, Store, Start);
   observeRecord(Second, Store);
   write(Second, Store, Start);
@@ -69,9 +71,9 @@
   LONGS_EQUAL(0, availableUnits(First, "power", Start));
 }
 
-// Symptom: a holder uses more than its row. Sequence: it lowers its row, the
-// answer is lost, and a late read of the old version arrives.
-TEST(Budget, ALateReadDoesNotRaiseWhatIsBeingLowered) {
+// Regression: a holder used more than its row after it had lowered the row, the
+// response was lost, and a delayed read of the old version arrived.
+TEST(Budget, DelayedReadDoesNotRaiseLoweredShare) {
   budget_holder First = makeHolder("a");
   pool_record Store;
   write(First, Store, Start);
@@ -87,9 +89,10 @@
   LONGS_EQUAL(50, availableUnits(First, "power", Start));
 }
 
-// Symptom: units stranded for good. Sequence: an update's answer is lost and
-// the write never took effect. The same update is repeated after a pause.
-TEST(Budget, AnUncertainUpdateIsRepeatedUnchanged) {
+// Regression: units were unavailable forever after the response to an update
+// was lost and the write never took effect. The same update is retried after a
+// backoff.
+TEST(Budget, UncertainUpdateIsRetriedUnchanged) {
   budget_holder First = makeHolder("a");
   const auto Sent = planUpdate(First, {}, Start);
   updateAnswered(First, *Sent, update_result::Uncertain, 0, Start);
@@ -100,9 +103,9 @@
   LONGS_EQUAL(Sent->Version, Again->Version);
 }
 
-// Symptom: two holders use one loan. Sequence: the loan is returned, and a copy
-// of the message that gave it arrives late.
-TEST(Budget, ALateCopyOfALoanIsNotTaken) {
+// Regression: two holders used one loan when the loan was returned and a
+// delayed copy of the message that granted it arrived.
+TEST(Budget, DelayedCopyOfLoanIsRejected) {
   budget_holder Lender = makeHolder("a");
   budget_holder Borrower = makeHolder("b");
   pool_record Store;
@@ -121,7 +124,7 @@
   LONGS_EQUAL(100, availableUnits(Lender, "power", Start));
 }
 
-TEST(Budget, ALoanEndsWhenItsLenderIsSilent) {
+TEST(Budget, LoanExpiresWithoutRenewal) {
   budget_holder Lender = makeHolder("a");
   budget_holder Borrower = makeHolder("b");
   pool_record Store;
@@ -132,7 +135,7 @@
   LONGS_EQUAL(0, availableUnits(Borrower, "power", Start + seconds(3)));
 }
 
-TEST(Budget, ALowerCapCountsBeforeTheRowsFollow) {
+TEST(Budget, LoweredLimitAppliesBeforeRowsAreUpdated) {
   budget_holder First = makeHolder("a");
   pool_record Store;
   write(First, Store, Start);
@@ -140,9 +143,10 @@
   LONGS_EQUAL(40, availableUnits(First, "power", Start));
 }
 
-// Symptom: the dead holder's work and its successors' draw together. Its row
-// stays until the longest work it may have sent has ended.
-TEST(Budget, ADeadHoldersRowComesBackOnlyAfterItsWorkHasEnded) {
+// Regression: requests of a dead holder and of its successors drew power
+// together. The row of a dead holder stays until the longest work that it may
+// have sent has ended.
+TEST(Budget, RowOfDeadHolderIsReclaimedAfterItsWorkEnded) {
   budget_holder First = makeHolder("a");
   pool_record Store;
   Store.Version = 1;
