--- a/Libraries/Keys/keys.cpp
+++ b/Libraries/Keys/keys.cpp
@@ -42,12 +42,13 @@
   return Parsed;
 }
 
-static key_verdict verdictForKnown(owned_key &Known, std::uint64_t Waiter) {
-  switch (Known.State) {
+static key_verdict verdictForExisting(owned_key &Existing,
+                                      std::uint64_t Waiter) {
+  switch (Existing.State) {
   case key_state::Recording:
   case key_state::Recorded:
   case key_state::Sent:
-    Known.Waiters.push_back(Waiter);
+    Existing.Waiters.push_back(Waiter);
     return key_verdict::Join;
   case key_state::Answered:
     return key_verdict::Replay;
@@ -59,9 +60,10 @@
   return key_verdict::Unknown;
 }
 
-/// Until MaxDelay after expiry the table remembers every key it has seen, so a
-/// key that isn't there was not run; and it refuses new ones, so it never will
-/// be. After that it may have been forgotten, and nothing is proved.
+/// Until MaxDelayMs after its expiry the table contains every key that it has
+/// admitted, so a key that is missing was not executed; and the table rejects
+/// new copies of it, so it never will be. Later the key may have been removed,
+/// and nothing is proved.
 static std::optional<key_verdict> verdictForExpired(std::int64_t ExpiresAtMs,
                                                     const key_limits &Limits,
                                                     std::int64_t WallMs) {
@@ -77,15 +79,15 @@
                      const key_limits &Limits, std::int64_t WallMs) {
   auto Found = Table.Keys.find(Key);
   if (Found != Table.Keys.end())
-    return verdictForKnown(Found->second, Waiter);
+    return verdictForExisting(Found->second, Waiter);
   if (auto Expired = verdictForExpired(ExpiresAtMs, Limits, WallMs))
     return *Expired;
   if (Table.Keys.size() >= Limits.MaxKeys)
     return key_verdict::TableFull;
-  owned_key Fresh;
-  Fresh.ExpiresAtMs = ExpiresAtMs;
-  Fresh.Waiters.push_back(Waiter);
-  Table.Keys.emplace(Key, std::move(Fresh));
+  owned_key NewKey;
+  NewKey.ExpiresAtMs = ExpiresAtMs;
+  NewKey.Waiters.push_back(Waiter);
+  Table.Keys.emplace(Key, std::move(NewKey));
   return key_verdict::Admit;
 }
 
@@ -136,7 +138,7 @@
   auto Found = Table.Keys.find(Key);
   if (Found != Table.Keys.end())
     return !Found->second.Sealed;
-  // A seal of this key may have been forgotten after its expiry.
+  // A seal of this key may have been removed after its expiry.
   if (WallMs >= ExpiresAtMs || Table.Keys.size() >= Limits.MaxKeys)
     return false;
   Table.Keys.emplace(Key, witness_table::entry{false, ExpiresAtMs});
@@ -149,11 +151,11 @@
   auto Found = Table.Keys.find(Key);
   if (Found != Table.Keys.end())
     return Found->second.Sealed ? outcome::NotRun : outcome::Unknown;
-  // A record may have been forgotten: nothing is proved.
+  // A record of this key may have been removed: nothing is proved.
   if (WallMs >= ExpiresAtMs + Limits.MaxDelayMs)
     return outcome::Unknown;
-  // From expiry on no key is recorded any more, so no seal is needed. Before
-  // that, a seal which can't be kept proves nothing.
+  // After the expiry no key is recorded, so no seal is needed. Before it, a
+  // seal that cannot be stored proves nothing.
   if (WallMs >= ExpiresAtMs)
     return outcome::NotRun;
   if (Table.Keys.size() >= Limits.MaxKeys)
--- a/Libraries/Keys/keys.h
+++ b/Libraries/Keys/keys.h
@@ -1,13 +1,15 @@
-/// At most once for non-idempotent work, without a store write per request.
+/// At-most-once execution of non-idempotent work, without a store write per
+/// request.
 ///
 /// An idempotency key names its *home*: the one gateway incarnation that may
-/// run it (owner) and a witness in another failure domain. The owner sends
-/// nothing before the witness has recorded that the key may have run. When the
-/// owner is gone the witness seals the key: without a record it is proved that
-/// the key was not run and never will be, since a sealed key is never recorded.
+/// execute the request (owner) and a witness in another failure domain. The
+/// owner sends nothing before the witness has recorded that the key may have
+/// been executed. When the owner is unreachable the witness seals (fences) the
+/// key: if there is no record, the key was not executed and never will be,
+/// since a sealed key is never recorded.
 ///
-/// Tables are sharded by key, each shard with its own lock in the daemons; the
-/// functions here work on one shard.
+/// Tables are sharded by key, and each shard has its own lock in the daemons;
+/// the functions here work on one shard.
 #pragma once
 
 #include "Core/core.h"
@@ -21,7 +23,7 @@
 
 namespace amaranthhoist {
 
-/// Where a key lives: who may run it, who witnesses, and until when.
+/// Home of a key: its owner, its witness and its expiry.
 struct home_token {
   std::string Owner;
   std::string Witness;
@@ -29,41 +31,42 @@
   std::int64_t ExpiresAtMs = 0;
 };
 
-/// Text of a home token, as handed to callers: owner~witness~expiry.
+/// Formats a home token for callers: owner~witness~expiry.
 std::string formatHome(const home_token &Home);
 
-/// An idempotency key split into its home and the caller's own part.
+/// An idempotency key, split into its home and the part that the caller chose.
 struct parsed_key {
   home_token Home;
   std::string CallerPart;
 };
 
-/// Longest idempotency key accepted, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 inline constexpr std::size_t MaxKeyLength = 256;
 
-/// Splits `<home>.<caller's part>`; Invalid when it has no well-formed home.
+/// Splits `<home>.<caller's part>`; returns Invalid if the key has no
+/// well-formed home.
 result<parsed_key> parseKey(std::string_view Key);
 
-/// An answer kept for retries of the same key.
+/// A response stored for retries of the same key.
 struct stored_answer {
   int Status = 0;
   std::string ContentType;
   std::string Body;
 };
 
-/// What the owner knows of a key.
+/// State of a key at its owner.
 enum class key_state : std::uint8_t {
   /// Admitted; the witness has not confirmed yet. Nothing was sent.
   Recording,
-  /// The witness has it on record. May be sent, once.
+  /// The witness has recorded the key. May be sent once.
   Recorded,
-  /// Handed to a backend server.
+  /// Sent to a backend server.
   Sent,
-  /// Ran; the answer is kept.
+  /// Executed; the response is stored.
   Answered,
-  /// Closed: was not run and never will be.
+  /// Closed: was not executed and never will be.
   NotRun,
-  /// Sent, and its end isn't known.
+  /// Sent; it is unknown whether it was executed.
   Unknown,
 };
 
@@ -72,17 +75,17 @@
   key_state State = key_state::Recording;
   std::int64_t ExpiresAtMs = 0;
   stored_answer Answer;
-  /// Requests that wait for the result: the first and its retries.
+  /// Requests that wait for the result: the first one and its retries.
   std::vector<std::uint64_t> Waiters;
 };
 
 /// Bounds of a key table.
 struct key_limits {
-  /// A full table refuses new keys; it never forgets a live one.
+  /// A full table rejects new keys; it never removes a live one.
   std::size_t MaxKeys = 200'000;
-  /// Longest time a copy of a request, or clocks that differ, may lag behind.
+  /// Maximum delay of a copy of a request, including clock skew.
   std::int64_t MaxDelayMs = 60'000;
-  /// Larger answers are not kept for retries.
+  /// Larger responses are not stored for retries.
   std::size_t MaxAnswerBytes = 65'536;
 };
 
@@ -94,66 +97,69 @@
 /// One shard of the keys that this incarnation witnesses.
 struct witness_table {
   struct entry {
-    /// Sealed: the owner may not run it any more.
+    /// Sealed: the owner may no longer execute the request.
     bool Sealed = false;
     std::int64_t ExpiresAtMs = 0;
   };
   std::unordered_map<std::string, entry> Keys;
 };
 
-/// What the owner does with an arriving copy of a key.
+/// Decision of the owner on an arriving copy of a key.
 enum class key_verdict : std::uint8_t {
-  /// New: ask the witness, then queue it.
+  /// New: request a record at the witness, then queue the request.
   Admit,
-  /// The same key is under way: wait for its result.
+  /// The same key is in progress: wait for its result.
   Join,
-  /// The kept answer is the result.
+  /// The stored response is the result.
   Replay,
-  /// Was not run and never will be.
+  /// Was not executed and never will be.
   NotRun,
-  /// May have run; it won't be run again.
+  /// May have been executed; it will not be executed again.
   Unknown,
-  /// No room for another key. The key stays open: it may be tried again.
+  /// The table is full. The key stays open and may be retried.
   TableFull,
 };
 
-/// Takes in a copy of \p Key at its owner. \p WallMs is the wall clock.
+/// Handles a copy of \p Key at its owner. \p WallMs is the wall clock.
 key_verdict admitKey(owner_table &Table, const std::string &Key,
                      std::int64_t ExpiresAtMs, std::uint64_t Waiter,
                      const key_limits &Limits, std::int64_t WallMs);
 
-/// The witness confirmed (or refused: it has sealed the key). A refusal closes
-/// the key. Returns whether the key may now be sent.
+/// Handles the reply of the witness: it has confirmed the record, or rejected
+/// it (the key is sealed, or its table is full). Returns whether the key may
+/// now be sent; after a rejection the caller closes the key.
 bool witnessAnswered(owner_table &Table, const std::string &Key, bool Recorded);
 
-/// Marks \p Key as sent. Returns false, and nothing may be sent, unless the
-/// key is recorded and was not sent or closed before.
+/// Marks \p Key as sent. Returns false, and the caller must not send, unless
+/// the key is recorded and was not sent or closed before.
 bool markSent(owner_table &Table, const std::string &Key);
 
-/// Proof that the send did not run (connection refused, or the backend server's
-/// own word): the key may be sent once more, to another target.
+/// Reverts markSent after proof that the request was not executed (connection
+/// refused, or the backend server reported it): the key may be sent once more,
+/// to another target.
 void markUnsent(owner_table &Table, const std::string &Key);
 
-/// Ends \p Key as \p State and returns the requests that wait for it.
+/// Closes \p Key with \p State and returns the requests that wait for it.
 std::vector<std::uint64_t> closeKey(owner_table &Table, const std::string &Key,
                                     key_state State, stored_answer Answer = {});
 
-/// Removes a waiter that went away; the key itself goes on.
+/// Removes a waiter that disconnected; the key itself stays in progress.
 void forgetWaiter(owner_table &Table, const std::string &Key,
                   std::uint64_t Waiter);
 
-/// The owner asks: record that \p Key may have run. False when sealed or full.
+/// Records, at the owner's request, that \p Key may have been executed. Returns
+/// false if the key is sealed, has expired, or the table is full.
 bool recordAtWitness(witness_table &Table, const std::string &Key,
                      std::int64_t ExpiresAtMs, const key_limits &Limits,
                      std::int64_t WallMs);
 
-/// Somebody who can't reach the owner asks for the key's fate. Seals it.
-/// NotRun when there was no record, else Unknown.
+/// Seals \p Key at the request of a party that cannot reach the owner. Returns
+/// NotRun if there was no record, otherwise Unknown.
 outcome sealAtWitness(witness_table &Table, const std::string &Key,
                       std::int64_t ExpiresAtMs, const key_limits &Limits,
                       std::int64_t WallMs);
 
-/// Forgets keys whose home expired longer than MaxDelay ago. Keys under way
+/// Removes keys whose home expired at least MaxDelayMs ago. Keys in progress
 /// stay.
 void expireKeys(owner_table &Table, const key_limits &Limits,
                 std::int64_t WallMs);
--- a/Tests/keys_test.cpp
+++ b/Tests/keys_test.cpp
@@ -1,4 +1,4 @@
-// At most once: the tables of owner and witness.
+// At-most-once execution: the key tables of owner and witness.
 
 #include "Keys/keys.h"
 
@@ -18,7 +18,7 @@
 TEST_GROUP(Keys) {};
 // clang-format on
 
-TEST(Keys, AHomeSurvivesItsText) {
+TEST(Keys, HomeRoundTripsThroughText) {
   const home_token Home{"gw-1/site-a#12", "gw-2/site-b#9", Expiry};
   const auto Parsed = parseKey(formatHome(Home) + ".caller.part");
   CHECK(Parsed.has_value());
@@ -28,7 +28,7 @@
   STRCMP_EQUAL("caller.part", Parsed->CallerPart.c_str());
 }
 
-TEST(Keys, MalformedKeysAreRefused) {
+TEST(Keys, MalformedKeysAreRejected) {
   for (const char *Text :
        {"", "nohome", "a~b~1.", "a~b.x", "a~b~c.x", "~b~1.x", "a~b~1~2.x",
         "a~b~1.with space", "a~b~99999999999999999999.x"})
@@ -36,7 +36,7 @@
   CHECK(!parseKey("a~b~1." + std::string(300, 'x')).has_value());
 }
 
-TEST(Keys, ARetryJoinsThenReplays) {
+TEST(Keys, RetryJoinsThenReplays) {
   owner_table Table;
   CHECK(key_verdict::Admit == admitKey(Table, "k", Expiry, 1, Limits, Now));
   CHECK(key_verdict::Join == admitKey(Table, "k", Expiry, 2, Limits, Now));
@@ -47,7 +47,7 @@
   CHECK(key_verdict::Replay == admitKey(Table, "k", Expiry, 3, Limits, Now));
 }
 
-TEST(Keys, NothingIsSentBeforeTheWitnessAndNothingTwice) {
+TEST(Keys, SendsOnceAndOnlyAfterWitnessRecord) {
   owner_table Table;
   admitKey(Table, "k", Expiry, 1, Limits, Now);
   CHECK(!markSent(Table, "k"));
@@ -56,23 +56,23 @@
   CHECK(!markSent(Table, "k"));
 }
 
-// Symptom: a key that was told not run runs. Sequence: the owner is paused
-// before the witness hears of the key; somebody asks the witness; the owner
-// goes on.
-TEST(Keys, ASealedKeyIsNeverRecorded) {
+// Regression: a key was executed after a caller had received "not run". The
+// owner was paused before the witness received the record request; another
+// party requested the seal; then the owner resumed.
+TEST(Keys, SealedKeyIsNeverRecorded) {
   witness_table Witness;
   CHECK(outcome::NotRun == sealAtWitness(Witness, "k", Expiry, Limits, Now));
   CHECK(!recordAtWitness(Witness, "k", Expiry, Limits, Now));
   CHECK(outcome::NotRun == sealAtWitness(Witness, "k", Expiry, Limits, Now));
 }
 
-TEST(Keys, ARecordedKeyIsUnknownToWhoeverAsksTheWitness) {
+TEST(Keys, SealOfRecordedKeyReturnsUnknown) {
   witness_table Witness;
   CHECK(recordAtWitness(Witness, "k", Expiry, Limits, Now));
   CHECK(outcome::Unknown == sealAtWitness(Witness, "k", Expiry, Limits, Now));
 }
 
-TEST(Keys, AfterExpiryAbsenceProvesNotRunUntilTheTableMayHaveForgotten) {
+TEST(Keys, MissingKeyProvesNotRunUntilMaxDelayAfterExpiry) {
   owner_table Table;
   CHECK(key_verdict::NotRun ==
         admitKey(Table, "k", Expiry, 1, Limits, Expiry + 1));
@@ -84,7 +84,7 @@
                                           Expiry + Limits.MaxDelayMs));
 }
 
-TEST(Keys, AFullTableRefusesAndForgetsNothing) {
+TEST(Keys, FullTableRejectsNewKeysAndKeepsExisting) {
   key_limits Small;
   Small.MaxKeys = 1;
   owner_table Table;
@@ -97,7 +97,7 @@
   CHECK(outcome::Unknown == sealAtWitness(Witness, "l", Expiry, Small, Now));
 }
 
-TEST(Keys, ExpiryForgetsWhatIsOverAndKeepsWhatIsUnderWay) {
+TEST(Keys, ExpiryRemovesFinishedKeysAndKeepsKeysInProgress) {
   owner_table Table;
   admitKey(Table, "waiting", Expiry, 1, Limits, Now);
   admitKey(Table, "done", Expiry, 2, Limits, Now);
