--- a/Libraries/Gateway/arrival.cpp
+++ b/Libraries/Gateway/arrival.cpp
@@ -27,16 +27,16 @@
       enqueue(Node.Queues[Request.Service], Queued, Node.Settings.Queue,
               predictedWait(Node, Request.Service), Moment.Now);
   if (Result.Displaced)
-    giveUp(Node, Result.Displaced->Token, "displaced by higher priority",
-           Actions);
+    abandonRequest(Node, Result.Displaced->Token,
+                   "displaced by higher priority", Actions);
   if (!Result.Accepted) {
-    giveUp(Node, Request.Token, "no room within the deadline", Actions);
+    abandonRequest(Node, Request.Token, "no room within the deadline", Actions);
     return;
   }
-  pump(Node, Request.Service, Moment, Actions);
+  sendQueued(Node, Request.Service, Moment, Actions);
 }
 
-/// Whether the site has anything for this service at all.
+/// Whether any target of the site serves \p Service.
 static bool servesService(const gateway_node &Node,
                           const std::string &Service) {
   for (const auto &[Name, Target] : Node.Targets)
@@ -50,7 +50,7 @@
          Node.Witnesses.end();
 }
 
-/// Returns whether the key is new and the request goes on to the queue.
+/// Returns whether the key is new and the request continues to the queue.
 static bool admitKeyed(gateway_node &Node, work_item &Item, moment Moment,
                        actions &Actions) {
   const work_request &Request = Item.Request;
@@ -79,8 +79,8 @@
   return false;
 }
 
-static void arriveKeyed(gateway_node &Node, work_item Item, moment Moment,
-                        actions &Actions) {
+static void handleKeyedArrival(gateway_node &Node, work_item Item,
+                               moment Moment, actions &Actions) {
   const work_request &Request = Item.Request;
   result<parsed_key> Parsed = parseKey(Request.Key);
   if (!Parsed || Parsed->Home.Owner != Node.Settings.Id ||
@@ -94,43 +94,45 @@
   const std::uint64_t Token = Request.Token;
   Node.Work.emplace(Token, Item);
   if (Node.Draining || !servesService(Node, Request.Service)) {
-    giveUp(Node, Token, "the site takes no new work", Actions);
+    abandonRequest(Node, Token, "the site takes no new work", Actions);
     return;
   }
   if (!isWitness(Node, Item.Home.Witness)) {
-    giveUp(Node, Token, "the witness is gone", Actions);
+    abandonRequest(Node, Token, "the witness is gone", Actions);
     return;
   }
-  // Asked while the request waits for its slot, so that the answer is usually
-  // there by then; nothing is sent without it.
-  askWitness(Node.Work.at(Token), Moment, Actions);
+  // The record is requested while the request waits for its slot, so that the
+  // reply has usually arrived by then; nothing is sent without it.
+  requestWitnessRecord(Node.Work.at(Token), Moment, Actions);
   queueItem(Node, Item, Moment, Actions);
 }
 
-void arrive(gateway_node &Node, const request_arrived &Event, moment Moment,
-            actions &Actions) {
+void handleArrival(gateway_node &Node, const request_arrived &Event,
+                   moment Moment, actions &Actions) {
   work_item Item;
   Item.Request = Event.Request;
   earnRetry(Node.Retries);
   if (Item.Request.Class == work_class::NonIdempotent) {
-    arriveKeyed(Node, Item, Moment, Actions);
+    handleKeyedArrival(Node, Item, Moment, Actions);
     return;
   }
   Node.Work.emplace(Item.Request.Token, Item);
   if (Node.Draining || !servesService(Node, Item.Request.Service)) {
-    giveUp(Node, Item.Request.Token, "the site takes no new work", Actions);
+    abandonRequest(Node, Item.Request.Token, "the site takes no new work",
+                   Actions);
     return;
   }
   queueItem(Node, Item, Moment, Actions);
 }
 
-void cancel(gateway_node &Node, std::uint64_t Token, actions &Actions) {
+void handleCancel(gateway_node &Node, std::uint64_t Token, actions &Actions) {
   auto Found = Node.Work.find(Token);
   if (Found == Node.Work.end())
     return;
   work_item &Item = Found->second;
-  // Non-idempotent work goes on when its caller goes away: the answer is kept
-  // for the retry under the same key, which would else find "unknown".
+  // Non-idempotent work continues when its caller disconnects: the response is
+  // stored for the retry under the same key, which would otherwise get
+  // "unknown".
   if (Item.Request.Class == work_class::NonIdempotent) {
     forgetWaiter(Node.Owned, Item.Request.Key, Token);
     return;
@@ -144,8 +146,8 @@
   Node.Work.erase(Found);
 }
 
-void seal(gateway_node &Node, const seal_asked &Event, moment Moment,
-          actions &Actions) {
+void handleSealRequest(gateway_node &Node, const seal_asked &Event,
+                       moment Moment, actions &Actions) {
   finish_request Action;
   Action.Token = Event.Token;
   Action.RetryAfter = Node.Settings.RetryAfter;
--- a/Libraries/Gateway/completion.cpp
+++ b/Libraries/Gateway/completion.cpp
@@ -2,7 +2,7 @@
 
 namespace amaranthhoist::gateway {
 
-/// Tries at targets per request, the first included.
+/// Maximum attempts per request, including the first.
 static constexpr std::int32_t MaxAttempts = 3;
 
 static void finishWaiters(const gateway_node &Node,
@@ -27,21 +27,21 @@
                       key_state State, outcome Outcome,
                       const std::string &Reason, const stored_answer &Answer,
                       actions &Actions) {
-  stored_answer Kept = Answer;
-  key_state KeptState = State;
-  if (Kept.Body.size() > Node.Settings.Keys.MaxAnswerBytes) {
-    // Too large to keep: those who wait get it now, later retries learn only
-    // that it may have run.
-    Kept = {};
-    KeptState = key_state::Unknown;
+  stored_answer Stored = Answer;
+  key_state StoredState = State;
+  if (Stored.Body.size() > Node.Settings.Keys.MaxAnswerBytes) {
+    // Too large to store: the current waiters get the response, later retries
+    // get only "unknown" (may have been executed).
+    Stored = {};
+    StoredState = key_state::Unknown;
   }
   const std::vector<std::uint64_t> Waiters =
-      closeKey(Node.Owned, Request.Key, KeptState, std::move(Kept));
+      closeKey(Node.Owned, Request.Key, StoredState, std::move(Stored));
   finishWaiters(Node, Waiters, Request, Outcome, Reason, Answer, Actions);
 }
 
-void giveUp(gateway_node &Node, std::uint64_t Token, const std::string &Reason,
-            actions &Actions) {
+void abandonRequest(gateway_node &Node, std::uint64_t Token,
+                    const std::string &Reason, actions &Actions) {
   auto Found = Node.Work.find(Token);
   if (Found == Node.Work.end())
     return;
@@ -55,8 +55,9 @@
                   Actions);
 }
 
-/// The units come back at once only when the work has provably ended. A cut
-/// connection proves nothing: the backend server may go on drawing power.
+/// Units are released immediately only when the work has provably ended. A
+/// closed connection proves nothing: the backend server may continue to draw
+/// power.
 static void settleUnits(gateway_node &Node, work_item &Item, bool Ended,
                         instant Now) {
   if (!Ended && Now < Item.ToldDeadline + Node.Settings.EndMargin) {
@@ -72,26 +73,26 @@
   Item.Units.clear();
 }
 
-void targetLeaves(gateway_node &Node, const std::string &Target, bool Tell,
-                  actions &Actions) {
+void markTargetDraining(gateway_node &Node, const std::string &Target,
+                        bool NotifyPeers, actions &Actions) {
   auto Found = Node.Targets.find(Target);
   if (Found == Node.Targets.end() || Found->second.Leaving)
     return;
   Found->second.Leaving = true;
-  if (!Tell)
+  if (!NotifyPeers)
     return;
   for (const std::string &Peer : Node.Peers)
     Actions.push_back(send_to_peer{Peer, leaving_notice{Target}});
 }
 
-static void noteTarget(gateway_node &Node, const std::string &Name,
-                       const target_ended &Event, instant Now,
-                       actions &Actions) {
+static void recordAttemptEnd(gateway_node &Node, const std::string &Name,
+                             const target_ended &Event, instant Now,
+                             actions &Actions) {
   auto Found = Node.Targets.find(Name);
   if (Found == Node.Targets.end())
     return;
   if (Event.Leaving)
-    targetLeaves(Node, Name, true, Actions);
+    markTargetDraining(Node, Name, true, Actions);
   const bool Healthy = Event.End == target_end::Completed;
   if (Event.End != target_end::Stopped)
     noteTargetResult(Found->second, Node.Settings.Targets, Healthy, Event.Took,
@@ -100,14 +101,14 @@
     noteNotReached(Found->second, Node.Settings.Targets);
 }
 
-/// Whether the same request may go to another target.
+/// Whether the request may be retried at another target.
 static bool mayRetry(gateway_node &Node, const work_item &Item,
                      const target_ended &Event, moment Moment) {
-  const bool Unrun =
+  const bool NotExecuted =
       Event.End == target_end::NotReached || Event.End == target_end::Shed;
-  const bool Harmless = Item.Request.Class == work_class::Idempotent &&
-                        !Event.Streamed && Event.End == target_end::Broken;
-  if (!Unrun && !Harmless)
+  const bool SafeToRetry = Item.Request.Class == work_class::Idempotent &&
+                           !Event.Streamed && Event.End == target_end::Broken;
+  if (!NotExecuted && !SafeToRetry)
     return false;
   if (Item.Cancelled || Item.Attempts >= MaxAttempts)
     return false;
@@ -152,28 +153,28 @@
   }
 }
 
-void targetEnded(gateway_node &Node, const target_ended &Event, moment Moment,
-                 actions &Actions) {
+void handleTargetEnded(gateway_node &Node, const target_ended &Event,
+                       moment Moment, actions &Actions) {
   auto Found = Node.Work.find(Event.Token);
   if (Found == Node.Work.end() || Found->second.Target.empty())
     return;
   work_item &Item = Found->second;
-  noteTarget(Node, Item.Target, Event, Moment.Now, Actions);
+  recordAttemptEnd(Node, Item.Target, Event, Moment.Now, Actions);
   settleUnits(Node, Item, Event.End != target_end::Broken, Moment.Now);
   if (mayRetry(Node, Item, Event, Moment)) {
     retry(Node, Item);
   } else {
-    const work_item Done = std::move(Item);
+    const work_item Ended = std::move(Item);
     Node.Work.erase(Found);
-    if (Done.Request.Class == work_class::NonIdempotent)
-      finishKeyed(Node, Done.Request, Event, Actions);
-    else if (!Done.Cancelled)
-      finishIdempotent(Node, Done.Request, Event, Actions);
+    if (Ended.Request.Class == work_class::NonIdempotent)
+      finishKeyed(Node, Ended.Request, Event, Actions);
+    else if (!Ended.Cancelled)
+      finishIdempotent(Node, Ended.Request, Event, Actions);
   }
-  pumpAll(Node, Moment, Actions);
+  sendAllQueued(Node, Moment, Actions);
 }
 
-void releaseLingering(gateway_node &Node, instant Now) {
+void releaseUnconfirmedWork(gateway_node &Node, instant Now) {
   std::erase_if(Node.Lingering, [&](const lingering_work &Work) {
     if (Now < Work.Until)
       return false;
--- a/Libraries/Gateway/dispatch.cpp
+++ b/Libraries/Gateway/dispatch.cpp
@@ -5,27 +5,29 @@
 
 namespace amaranthhoist::gateway {
 
-/// Units asked for in one loan, in requests.
+/// Units requested in one loan, counted in requests.
 static constexpr std::int64_t RequestsPerLoan = 2;
-/// Requests set aside at a time because their links are full.
-static constexpr std::size_t MaxSetAside = 64;
+/// Maximum number of requests deferred at a time because their links are full.
+static constexpr std::size_t MaxDeferred = 64;
 
 namespace {
 
-/// Requests of one service that can run at once here, and how long they take.
+/// Number of requests of one service that can run concurrently here, and their
+/// typical duration.
 struct service_rate {
   std::int64_t Parallel = 0;
   duration Typical{};
 };
 
-/// Why a request was not sent, or that it need not wait in the queue.
+/// Result of an attempt to send a queued request.
 enum class send_result : std::uint8_t {
   Sent,
-  /// Waits for its witness alone, outside the queue.
+  /// Waits only for its witness, outside the queue.
   Parked,
-  /// Its own link is full; a request from another region may still fit.
+  /// The link from its region is full; a request from another region may still
+  /// fit.
   LinkFull,
-  /// Nothing takes work of this service now.
+  /// No target accepts work of this service now.
   NoRoom,
 };
 
@@ -84,28 +86,29 @@
 
 static bool fits(const gateway_node &Node,
                  const std::vector<resource_amount> &Units, instant Now,
-                 std::set<std::string> &Short) {
+                 std::set<std::string> &MissingResources) {
   bool Fits = true;
   for (const resource_amount &Amount : Units) {
     if (availableUnits(Node.Budget, Amount.Resource, Now) >= Amount.Units)
       continue;
-    Short.insert(Amount.Resource);
+    MissingResources.insert(Amount.Resource);
     Fits = false;
   }
   return Fits;
 }
 
-/// The cheapest target that takes work and whose units are at hand. Notes in
-/// \p Short what was missing at targets that would have taken it.
+/// Returns the target of the lowest cost that accepts work and whose units are
+/// available. Adds to \p MissingResources the resources that were missing at
+/// targets that accept work.
 static target_state *chooseTarget(gateway_node &Node,
                                   const work_request &Request, instant Now,
-                                  std::set<std::string> &Short) {
+                                  std::set<std::string> &MissingResources) {
   target_state *Best = nullptr;
   for (auto &[Name, Target] : Node.Targets) {
     if (Target.Service != Request.Service ||
         !takesWork(Target, Node.Settings.Targets, Now))
       continue;
-    if (!fits(Node, unitsFor(Node, Request, Name), Now, Short))
+    if (!fits(Node, unitsFor(Node, Request, Name), Now, MissingResources))
       continue;
     const target_policy &Policy = Node.Settings.Targets;
     if (!Best || targetCost(Target, Policy) < targetCost(*Best, Policy))
@@ -114,13 +117,15 @@
   return Best;
 }
 
-static void askForLoans(gateway_node &Node, const work_request &Request,
-                        const std::set<std::string> &Short, instant Now,
-                        actions &Actions) {
-  // One request per resource at a time; a lender that has nothing is silent.
-  if (Node.Peers.empty() || Node.Budget.Requested.size() > Short.size())
+static void requestLoans(gateway_node &Node, const work_request &Request,
+                         const std::set<std::string> &MissingResources,
+                         instant Now, actions &Actions) {
+  // One loan request per resource at a time; a lender without idle units does
+  // not reply.
+  if (Node.Peers.empty() ||
+      Node.Budget.Requested.size() > MissingResources.size())
     return;
-  for (const std::string &Resource : Short) {
+  for (const std::string &Resource : MissingResources) {
     const std::string &Peer = Node.Peers[Node.NextLender++ % Node.Peers.size()];
     std::int64_t Units = RequestsPerLoan;
     if (Resource == PowerResource)
@@ -152,11 +157,12 @@
 
 static send_result trySend(gateway_node &Node, work_item &Item, moment Moment,
                            actions &Actions) {
-  std::set<std::string> Short;
-  target_state *Target = chooseTarget(Node, Item.Request, Moment.Now, Short);
+  std::set<std::string> MissingResources;
+  target_state *Target =
+      chooseTarget(Node, Item.Request, Moment.Now, MissingResources);
   if (!Target) {
-    askForLoans(Node, Item.Request, Short, Moment.Now, Actions);
-    return std::any_of(Short.begin(), Short.end(), isLink)
+    requestLoans(Node, Item.Request, MissingResources, Moment.Now, Actions);
+    return std::any_of(MissingResources.begin(), MissingResources.end(), isLink)
                ? send_result::LinkFull
                : send_result::NoRoom;
   }
@@ -169,24 +175,25 @@
   return send_result::Sent;
 }
 
-/// Sends requests of one queue in turn until nothing more fits. Requests whose
-/// link is full are set aside: behind one of them, those of other regions would
-/// wait for a link that they don't use.
-void pump(gateway_node &Node, const std::string &Service, moment Moment,
-          actions &Actions) {
+/// Sends requests of one queue in turn until no more can be sent. Requests
+/// whose link is full are deferred: otherwise requests from other regions would
+/// wait behind them for a link that they do not use.
+void sendQueued(gateway_node &Node, const std::string &Service, moment Moment,
+                actions &Actions) {
   auto Queue = Node.Queues.find(Service);
   if (Queue == Node.Queues.end())
     return;
-  std::vector<queued_request> SetAside;
+  std::vector<queued_request> Deferred;
   std::set<std::string> FullLinks;
   while (auto Next = dequeue(Queue->second)) {
     auto Found = Node.Work.find(Next->Token);
     if (Found == Node.Work.end())
       continue;
-    // Nothing is sent once its time is over: the backend server would refuse
+    // A request is not sent after its deadline: the backend server would refuse
     // it, and the caller has stopped waiting.
     if (Moment.Now >= Next->Deadline) {
-      giveUp(Node, Next->Token, "deadline passed in the queue", Actions);
+      abandonRequest(Node, Next->Token, "deadline passed in the queue",
+                     Actions);
       continue;
     }
     const std::string &Region = Found->second.Request.SourceRegion;
@@ -196,20 +203,20 @@
             : trySend(Node, Found->second, Moment, Actions);
     if (Result == send_result::Sent || Result == send_result::Parked)
       continue;
-    SetAside.push_back(*Next);
-    if (Result == send_result::NoRoom || SetAside.size() >= MaxSetAside)
+    Deferred.push_back(*Next);
+    if (Result == send_result::NoRoom || Deferred.size() >= MaxDeferred)
       break;
     FullLinks.insert(Region);
   }
-  for (auto Request = SetAside.rbegin(); Request != SetAside.rend(); ++Request)
+  for (auto Request = Deferred.rbegin(); Request != Deferred.rend(); ++Request)
     requeueFront(Queue->second, *Request);
-  refuseHopeless(Node, Service, Moment.Now, Actions);
+  refuseUnservable(Node, Service, Moment.Now, Actions);
 }
 
-void pumpAll(gateway_node &Node, moment Moment, actions &Actions) {
+void sendAllQueued(gateway_node &Node, moment Moment, actions &Actions) {
   for (auto &[Service, Queue] : Node.Queues)
     if (Queue.Total != 0)
-      pump(Node, Service, Moment, Actions);
+      sendQueued(Node, Service, Moment, Actions);
 }
 
 } // namespace amaranthhoist::gateway
--- a/Libraries/Gateway/gateway.cpp
+++ b/Libraries/Gateway/gateway.cpp
@@ -33,7 +33,7 @@
   return Limits;
 }
 
-/// The largest amount of power that all kinds of work are multiples of.
+/// The greatest common divisor of the power draws of all services.
 static std::int64_t powerQuantum(const site_settings &Site) {
   std::int64_t Quantum = 0;
   for (const auto &[Service, Milliwatts] : Site.SlotMilliwatts)
@@ -43,9 +43,9 @@
 
 static void applyTarget(gateway_node &Node, const target_settings &Settings,
                         instant Now) {
-  auto [Found, Fresh] = Node.Targets.try_emplace(Settings.Name);
+  auto [Found, IsNew] = Node.Targets.try_emplace(Settings.Name);
   target_state &Target = Found->second;
-  if (Fresh)
+  if (IsNew)
     Target.Since = Now;
   Target.Name = Settings.Name;
   Target.Site = Settings.Site;
@@ -57,10 +57,11 @@
   Target.Leaving = Target.Leaving || Settings.Leaving;
 }
 
-/// A target that is off the list takes no new work; it stays known until its
-/// work has ended, or its slots would be free before that.
-static void dropAbsent(gateway_node &Node,
-                       const std::vector<target_settings> &Listed) {
+/// A target that is missing from the list accepts no new work. It stays in the
+/// node until its work has ended; otherwise its slots would be free before
+/// that.
+static void removeAbsentTargets(gateway_node &Node,
+                                const std::vector<target_settings> &Listed) {
   std::set<std::string> Present;
   for (const target_settings &Target : Listed)
     Present.insert(Target.Name);
@@ -76,10 +77,10 @@
   Node.Site = Event.Site;
   for (const target_settings &Target : Event.Targets)
     applyTarget(Node, Target, Moment.Now);
-  dropAbsent(Node, Event.Targets);
+  removeAbsentTargets(Node, Event.Targets);
   Node.Budget.Limits = limitsOf(Node);
   Node.Budget.Quanta[PowerResource] = powerQuantum(Node.Site);
-  gateway::pumpAll(Node, Moment, Actions);
+  gateway::sendAllQueued(Node, Moment, Actions);
 }
 
 namespace {
@@ -91,40 +92,40 @@
   actions &Actions;
 
   void operator()(const request_arrived &Event) const {
-    gateway::arrive(Node, Event, Moment, Actions);
+    gateway::handleArrival(Node, Event, Moment, Actions);
   }
   void operator()(const request_cancelled &Event) const {
-    gateway::cancel(Node, Event.Token, Actions);
+    gateway::handleCancel(Node, Event.Token, Actions);
   }
   void operator()(const seal_asked &Event) const {
-    gateway::seal(Node, Event, Moment, Actions);
+    gateway::handleSealRequest(Node, Event, Moment, Actions);
   }
   void operator()(const target_ended &Event) const {
-    gateway::targetEnded(Node, Event, Moment, Actions);
+    gateway::handleTargetEnded(Node, Event, Moment, Actions);
   }
   void operator()(const peer_message_arrived &Event) const {
-    gateway::peerMessage(Node, Event, Moment, Actions);
+    gateway::handlePeerMessage(Node, Event, Moment, Actions);
   }
   void operator()(const record_seen &Event) const {
     observeRecord(Node.Budget, Event.Record);
-    gateway::pumpAll(Node, Moment, Actions);
+    gateway::sendAllQueued(Node, Moment, Actions);
   }
   void operator()(const record_update_answered &Event) const {
     updateAnswered(Node.Budget, Event.Proposed, Event.Result, Event.NewVersion,
                    Moment.Now);
-    gateway::pumpAll(Node, Moment, Actions);
+    gateway::sendAllQueued(Node, Moment, Actions);
   }
   void operator()(const site_changed &Event) const {
     applySite(Node, Event, Moment, Actions);
   }
   void operator()(const target_leaving &Event) const {
-    gateway::targetLeaves(Node, Event.Target, true, Actions);
+    gateway::markTargetDraining(Node, Event.Target, true, Actions);
   }
   void operator()(const peers_changed &Event) const {
-    gateway::peersChanged(Node, Event, Actions);
+    gateway::handlePeersChanged(Node, Event, Actions);
   }
   void operator()(const peer_unreachable &Event) const {
-    gateway::witnessLost(Node, Event.Id, Actions);
+    gateway::handleWitnessUnreachable(Node, Event.Id, Actions);
   }
   void operator()(const holder_dead &Event) const {
     observeDeath(Node.Budget, Event.Id, Moment.Now);
@@ -134,7 +135,7 @@
     Node.Leaving = Event.Leaving;
   }
   void operator()(const clock_tick &) const {
-    gateway::tick(Node, Moment, Actions);
+    gateway::handleTick(Node, Moment, Actions);
   }
 };
 
@@ -147,9 +148,9 @@
   return Actions;
 }
 
-/// Slots of one target that could be used now. One that is down takes a single
-/// request, as a trial: an offer of all its slots would bring a crowd to a
-/// server that is likely to be dead still.
+/// Slots of one target that are available now. A target that is down accepts a
+/// single request, as a trial request: a load report with all its slots would
+/// send many requests to a server that is probably still down.
 static std::int64_t freeSlots(const gateway_node &Node,
                               const target_state &Target, instant Now) {
   if (!takesWork(Target, Node.Settings.Targets, Now))
@@ -180,11 +181,12 @@
   if (Queue != Node.Queues.end())
     Free -= static_cast<std::int64_t>(Queue->second.Total);
   Offer.FreeUnits = Node.Draining ? 0 : std::max<std::int64_t>(Free, 0);
-  // A site whose servers are due for a trial isn't suspect, or it would get
-  // none and stay out of use when they are back.
-  const bool Hopeless = gateway::hasNoServer(Node, Service) ||
-                        gateway::isStalled(Node, Service, Now);
-  Offer.Suspect = Node.Draining || (Hopeless && Offer.FreeUnits == 0);
+  // A site whose servers are due for a trial request is not suspect:
+  // otherwise it would get no requests and stay out of use after its servers
+  // have recovered.
+  const bool CannotServe = gateway::hasNoServer(Node, Service) ||
+                           gateway::isStalled(Node, Service, Now);
+  Offer.Suspect = Node.Draining || (CannotServe && Offer.FreeUnits == 0);
   return Offer;
 }
 
--- a/Libraries/Gateway/gateway.h
+++ b/Libraries/Gateway/gateway.h
@@ -1,5 +1,5 @@
-/// One gateway at one site: duplicate check, fair queue, budgets, choice of
-/// target, and the account of work in progress. Sans-I/O: events in, actions
+/// One gateway at one site: duplicate detection, fair queue, budgets, target
+/// selection, and accounting of work in progress. Sans-I/O: events in, actions
 /// out. A daemon runs one node per site that it serves, each under its own
 /// lock.
 #pragma once
@@ -19,15 +19,16 @@
 
 namespace amaranthhoist {
 
-/// The two clocks of one process. Only key expiry uses the wall clock.
+/// Readings of the two clocks of one process. Only key expiry uses the wall
+/// clock.
 struct moment {
   instant Now{};
   std::int64_t WallMs = 0;
 };
 
-/// A request as an entry hands it to a gateway.
+/// A request as an entry forwards it to a gateway.
 struct work_request {
-  /// Chosen by the daemon, unique in this process.
+  /// Assigned by the daemon; unique in this process.
   std::uint64_t Token = 0;
   std::string RequestId;
   std::string Customer;
@@ -35,29 +36,33 @@
   work_class Class = work_class::Idempotent;
   /// Idempotency key; non-idempotent work only.
   std::string Key;
-  /// Region of the entry, whose link to this site it uses.
+  /// Region of the entry; the request uses the link from that region to this
+  /// site.
   std::string SourceRegion;
   std::int32_t Priority = 0;
   std::int32_t Weight = 1;
   instant Deadline{};
 };
 
-/// What the operator says of a site.
+/// Settings of a site, from the operator.
 struct site_settings {
   std::string Name;
   std::string Region;
   std::string FailureDomain;
   std::int64_t CapMilliwatts = 0;
   std::int64_t IdleMilliwatts = 0;
-  /// Kept free for what the site draws beside our work, and for lag.
+  /// Reserved for power that the site draws besides our work, and as a margin
+  /// for lag.
   std::int64_t GuardMilliwatts = 0;
-  /// Draw of one busy slot, by service.
+  /// Power draw of one busy slot, by service.
   std::map<std::string, std::int64_t> SlotMilliwatts;
-  /// Requests in progress over the link from each region; missing: no limit.
+  /// Maximum requests in progress over the link from each region; missing: no
+  /// limit.
   std::map<std::string, std::int64_t> LinkLimits;
 };
 
-/// What the platform's list and the operator say of one backend server.
+/// Settings of one backend server, from the platform's target list and the
+/// operator.
 struct target_settings {
   std::string Name;
   std::string Site;
@@ -69,33 +74,34 @@
 
 /// Settings of a gateway node.
 struct gateway_settings {
-  /// Instance, site and incarnation; new with each start of the process.
+  /// Instance, site and incarnation; changes with each start of the process.
   std::string Id;
-  /// Where this process runs.
+  /// Failure domain that this process runs in.
   std::string FailureDomain;
   budget_timing Budget;
   queue_limits Queue;
   key_limits Keys;
   target_policy Targets;
   retry_budget Retries;
-  /// Longest deadline that is told to a backend server.
+  /// Longest deadline that is sent to a backend server.
   duration MaxWork = std::chrono::seconds(120);
-  /// Added to a told deadline before work of unknown end counts as ended.
+  /// Added to the deadline sent to the backend server before unconfirmed work
+  /// counts as ended.
   duration EndMargin = std::chrono::seconds(2);
-  /// The witness is asked again this often.
+  /// Interval of retries of the request to the witness.
   duration WitnessRepeat = std::chrono::milliseconds(100);
-  /// After this silence the request is given up: the caller may still have time
-  /// for another home.
+  /// A request is given up when its witness has not responded within this time:
+  /// the caller may still have time for another home.
   duration WitnessLimit = std::chrono::milliseconds(1'000);
-  /// Base of the time to come back that refusals carry.
+  /// Base of the Retry-After time in refusals.
   duration RetryAfter = std::chrono::seconds(1);
-  /// Requests wait this long while nothing is in progress here whose end would
-  /// make room: for a loan, or for a dead holder's share. As long as a refused
-  /// caller waits before it comes back, the base of RetryAfter.
+  /// Requests wait this long, for a loan or for the share of a dead holder,
+  /// while no work is in progress here whose end would free units. Equals the
+  /// base of RetryAfter: as long as a refused caller waits before it retries.
   duration StallLimit = std::chrono::seconds(1);
-  /// After a wait in vain requests are refused at once for this long, then some
-  /// wait again. The same base, so that whoever comes back isn't refused on old
-  /// knowledge.
+  /// After a stalled wait, requests are refused immediately for this long; then
+  /// some requests wait again. Uses the same base as RetryAfter, so that a
+  /// caller that retries is not refused on outdated state.
   duration StallMemory = std::chrono::seconds(1);
 };
 
@@ -105,28 +111,30 @@
   work_request Request;
 };
 
-/// The caller, or the entry between, went away.
+/// The caller, or the entry between, disconnected.
 struct request_cancelled {
   std::uint64_t Token = 0;
 };
 
-/// Asks this node, as witness, for the fate of a key whose owner is gone.
+/// Requests the result of a key from this node, as its witness, because the
+/// owner is unreachable.
 struct seal_asked {
   std::uint64_t Token = 0;
   std::string Key;
 };
 
-/// How a send to a target ended.
+/// How an attempt at a target ended.
 enum class target_end : std::uint8_t {
-  /// The whole answer was received and is this request's own.
+  /// The complete response was received and belongs to this request.
   Completed,
-  /// Proved not run: connection refused.
+  /// Proved not executed: connection refused.
   NotReached,
-  /// Proved not run: the backend server's own word.
+  /// Proved not executed: reported by the backend server.
   Shed,
-  /// No whole answer; it may have run and may still be running.
+  /// No complete response; the request may have been executed and may still be
+  /// running.
   Broken,
-  /// The backend server confirmed that it has stopped.
+  /// The backend server confirmed that it has stopped the request.
   Stopped,
 };
 
@@ -136,13 +144,13 @@
   duration Took{};
   /// Whether a part of the answer has reached the caller already.
   bool Streamed = false;
-  /// The backend server said that it is leaving.
+  /// The backend server reported that it is draining.
   bool Leaving = false;
-  /// Kept for retries of non-idempotent work.
+  /// Stored for retries of non-idempotent work.
   stored_answer Answer;
 };
 
-/// The owner asks its witness to record a key.
+/// Request of the owner to its witness to record a key.
 struct witness_record {
   std::string Key;
   std::int64_t ExpiresAtMs = 0;
@@ -153,7 +161,8 @@
   bool Recorded = false;
 };
 
-/// A target said that it is leaving; one that hears it tells the others.
+/// A target reported that it is draining. The node that receives the report
+/// notifies the other nodes of the site.
 struct leaving_notice {
   std::string Target;
 };
@@ -166,7 +175,7 @@
   peer_message Message;
 };
 
-/// A read or watch of the site's pool record.
+/// The site's pool record was received, by a read or a watch.
 struct record_seen {
   pool_record Record;
 };
@@ -182,16 +191,16 @@
   std::vector<target_settings> Targets;
 };
 
-/// A target is leaving by its health answer.
+/// A health check reported that a target is draining.
 struct target_leaving {
   std::string Target;
 };
 
-/// The other nodes, by id, that are thought to be up.
+/// The other nodes, by id, that are up in the current view.
 struct peers_changed {
-  /// Those of the same site, with whom the budgets are shared.
+  /// Nodes of the same site, which share its budgets.
   std::vector<std::string> Peers;
-  /// All that may be named as witness.
+  /// All nodes that may be chosen as a witness.
   std::vector<std::string> Witnesses;
 };
 
@@ -200,14 +209,14 @@
   std::string Id;
 };
 
-/// Proof that a node's process no longer runs.
+/// A node's process is proved to be no longer running.
 struct holder_dead {
   std::string Id;
 };
 
 struct drain_changed {
   bool Draining = false;
-  /// The process is going away: once its work has ended, its row is removed.
+  /// The process is shutting down: once its work has ended, its row is removed.
   bool Leaving = false;
 };
 
@@ -225,7 +234,7 @@
   std::uint64_t Token = 0;
   std::string Target;
   std::string Address;
-  /// Told to the backend server, which must have stopped by then.
+  /// Sent to the backend server, which must have stopped by then.
   instant Deadline{};
 };
 
@@ -233,7 +242,7 @@
   std::uint64_t Token = 0;
 };
 
-/// The final answer to a request.
+/// The final outcome of a request.
 struct finish_request {
   std::uint64_t Token = 0;
   outcome Outcome = outcome::Refused;
@@ -257,13 +266,13 @@
 
 // State.
 
-/// A request in this node's care.
+/// A request that this node is handling.
 struct work_item {
   work_request Request;
   home_token Home;
-  /// Out of the queue, waiting for the witness alone.
+  /// Removed from the queue; waits only for the witness.
   bool Parked = false;
-  /// Sent to this target; empty while queued.
+  /// Target that the request was sent to; empty while it is queued.
   std::string Target;
   std::int32_t Attempts = 0;
   std::vector<resource_amount> Units;
@@ -273,8 +282,8 @@
   bool Cancelled = false;
 };
 
-/// Work whose end isn't proved: its units stay taken until the time told to the
-/// backend server has passed.
+/// Work whose end is not confirmed: its units stay in use until the deadline
+/// sent to the backend server has passed.
 struct lingering_work {
   std::string Target;
   std::vector<resource_amount> Units;
@@ -296,31 +305,32 @@
   std::vector<std::string> Witnesses;
   std::size_t NextLender = 0;
   retry_budget Retries;
-  /// By service: since when requests wait although nothing is in progress.
+  /// Start of the current stall, by service: requests wait although no work is
+  /// in progress.
   std::map<std::string, instant> StalledSince;
   bool Draining = false;
   bool Leaving = false;
 };
 
-/// A node with its settings and nothing else; it takes work only once it has
-/// heard of its site and holds a share.
+/// Creates a node with its settings only; it accepts work once it has received
+/// its site and holds a share.
 gateway_node makeGateway(const gateway_settings &Settings);
 
-/// Takes in one event; returns what is to be done.
+/// Handles one event and returns the resulting actions.
 std::vector<gateway_action>
 stepGateway(gateway_node &Node, const gateway_event &Event, moment Moment);
 
-/// What this node can take now for \p Service.
+/// Load report: the work that this node can accept now for \p Service.
 offer makeOffer(const gateway_node &Node, const std::string &Service,
                 instant Now);
 
-/// Whether a leaving node has no work, no loans and no row any more.
+/// Whether a node that is shutting down has no work, no loans and no row left.
 bool hasLeft(const gateway_node &Node);
 
-/// Requests sent and not provably ended.
+/// Number of requests that were sent and have not provably ended.
 std::int64_t workInProgress(const gateway_node &Node);
 
-/// Name of the power resource in a site's pool.
+/// Name of the power resource in the pool of a site.
 inline constexpr const char *PowerResource = "power";
 std::string slotResource(const std::string &Target);
 std::string linkResource(const std::string &Region);
--- a/Libraries/Gateway/node.h
+++ b/Libraries/Gateway/node.h
@@ -1,4 +1,4 @@
-/// Shared between the files of the gateway library; not public.
+/// Internal to the gateway library.
 #pragma once
 
 #include "Gateway/gateway.h"
@@ -8,51 +8,53 @@
 using actions = std::vector<gateway_action>;
 
 // arrival.cpp
-void arrive(gateway_node &Node, const request_arrived &Event, moment Moment,
-            actions &Actions);
-void cancel(gateway_node &Node, std::uint64_t Token, actions &Actions);
-void seal(gateway_node &Node, const seal_asked &Event, moment Moment,
-          actions &Actions);
+void handleArrival(gateway_node &Node, const request_arrived &Event,
+                   moment Moment, actions &Actions);
+void handleCancel(gateway_node &Node, std::uint64_t Token, actions &Actions);
+void handleSealRequest(gateway_node &Node, const seal_asked &Event,
+                       moment Moment, actions &Actions);
 
 // dispatch.cpp
 duration predictedWait(const gateway_node &Node, const std::string &Service);
-/// Sends what can be sent of \p Service, and asks for loans for the rest.
-void pump(gateway_node &Node, const std::string &Service, moment Moment,
-          actions &Actions);
-void pumpAll(gateway_node &Node, moment Moment, actions &Actions);
+/// Sends the queued requests of \p Service for which units are available and
+/// requests loans for the rest.
+void sendQueued(gateway_node &Node, const std::string &Service, moment Moment,
+                actions &Actions);
+void sendAllQueued(gateway_node &Node, moment Moment, actions &Actions);
 
 // prospects.cpp
-/// Whether no backend server of \p Service is left that takes work or is known
-/// to do so again: each is leaving or down.
+/// Whether every backend server of \p Service is draining or down, so that none
+/// accepts work or is expected to accept it again.
 bool hasNoServer(const gateway_node &Node, const std::string &Service);
-/// Whether requests of \p Service have waited in vain for units, with nothing
-/// in progress here whose end would free any.
+/// Whether requests of \p Service have waited for units until the stall
+/// timeout, with no work in progress here whose end would free any.
 bool isStalled(const gateway_node &Node, const std::string &Service,
                instant Now);
-/// Refuses what waits for \p Service and can't be served.
-void refuseHopeless(gateway_node &Node, const std::string &Service, instant Now,
-                    actions &Actions);
+/// Refuses the waiting requests of \p Service if they cannot be served.
+void refuseUnservable(gateway_node &Node, const std::string &Service,
+                      instant Now, actions &Actions);
 
 // completion.cpp
-/// Ends one request without a target's answer.
-void giveUp(gateway_node &Node, std::uint64_t Token, const std::string &Reason,
-            actions &Actions);
-void targetEnded(gateway_node &Node, const target_ended &Event, moment Moment,
-                 actions &Actions);
-void releaseLingering(gateway_node &Node, instant Now);
+/// Ends one request without a response from a target.
+void abandonRequest(gateway_node &Node, std::uint64_t Token,
+                    const std::string &Reason, actions &Actions);
+void handleTargetEnded(gateway_node &Node, const target_ended &Event,
+                       moment Moment, actions &Actions);
+void releaseUnconfirmedWork(gateway_node &Node, instant Now);
 
 // peers.cpp
-void askWitness(work_item &Item, moment Moment, actions &Actions);
-void peerMessage(gateway_node &Node, const peer_message_arrived &Event,
-                 moment Moment, actions &Actions);
-void peersChanged(gateway_node &Node, const peers_changed &Event,
-                  actions &Actions);
-/// Gives up what waits for a witness that can't be reached.
-void witnessLost(gateway_node &Node, const std::string &Witness,
-                 actions &Actions);
-/// Takes \p Target out of use. \p Tell passes it on to the site's other nodes.
-void targetLeaves(gateway_node &Node, const std::string &Target, bool Tell,
-                  actions &Actions);
-void tick(gateway_node &Node, moment Moment, actions &Actions);
+void requestWitnessRecord(work_item &Item, moment Moment, actions &Actions);
+void handlePeerMessage(gateway_node &Node, const peer_message_arrived &Event,
+                       moment Moment, actions &Actions);
+void handlePeersChanged(gateway_node &Node, const peers_changed &Event,
+                        actions &Actions);
+/// Gives up the requests that wait for a witness that is unreachable.
+void handleWitnessUnreachable(gateway_node &Node, const std::string &Witness,
+                              actions &Actions);
+/// Takes \p Target out of use. \p NotifyPeers: also notify the other nodes of
+/// the site.
+void markTargetDraining(gateway_node &Node, const std::string &Target,
+                        bool NotifyPeers, actions &Actions);
+void handleTick(gateway_node &Node, moment Moment, actions &Actions);
 
 } // namespace amaranthhoist::gateway
--- a/Libraries/Gateway/peers.cpp
+++ b/Libraries/Gateway/peers.cpp
@@ -4,7 +4,7 @@
 
 namespace amaranthhoist::gateway {
 
-void askWitness(work_item &Item, moment Moment, actions &Actions) {
+void requestWitnessRecord(work_item &Item, moment Moment, actions &Actions) {
   if (Item.WitnessFirstAsked == instant{})
     Item.WitnessFirstAsked = Moment.Now;
   Item.WitnessAsked = Moment.Now;
@@ -23,8 +23,8 @@
   return nullptr;
 }
 
-static void witnessReplied(gateway_node &Node, const witness_reply &Reply,
-                           moment Moment, actions &Actions) {
+static void handleWitnessReply(gateway_node &Node, const witness_reply &Reply,
+                               moment Moment, actions &Actions) {
   work_item *Item = findByKey(Node, Reply.Key);
   if (!Item)
     return;
@@ -33,11 +33,11 @@
   const bool WasRecording =
       Node.Owned.Keys.at(Reply.Key).State == key_state::Recording;
   if (!witnessAnswered(Node.Owned, Reply.Key, Reply.Recorded)) {
-    // Sealed while it was queued: somebody was told already that it did not
-    // run, so it never may.
+    // Sealed while the request was queued: another party has already received
+    // "not run" for this key, so it must never be executed.
     if (WasRecording) {
       removeQueued(Node.Queues[Service], Item->Request.Customer, Token);
-      giveUp(Node, Token, "sealed by the witness", Actions);
+      abandonRequest(Node, Token, "sealed by the witness", Actions);
     }
     return;
   }
@@ -47,7 +47,7 @@
   const work_request &Request = Item->Request;
   requeueFront(Node.Queues[Service], {Token, Request.Customer, Request.Priority,
                                       Request.Weight, Request.Deadline});
-  pump(Node, Service, Moment, Actions);
+  sendQueued(Node, Service, Moment, Actions);
 }
 
 namespace {
@@ -62,7 +62,7 @@
     for (auto &Reply : handleLoanMessage(Node.Budget, From, Message,
                                          Node.Settings.Budget, Moment.Now))
       Actions.push_back(send_to_peer{Reply.To, Reply.Message});
-    pumpAll(Node, Moment, Actions);
+    sendAllQueued(Node, Moment, Actions);
   }
   void operator()(const witness_record &Message) const {
     const bool Recorded =
@@ -71,17 +71,17 @@
     Actions.push_back(send_to_peer{From, witness_reply{Message.Key, Recorded}});
   }
   void operator()(const leaving_notice &Message) const {
-    targetLeaves(Node, Message.Target, false, Actions);
+    markTargetDraining(Node, Message.Target, false, Actions);
   }
   void operator()(const witness_reply &Message) const {
-    witnessReplied(Node, Message, Moment, Actions);
+    handleWitnessReply(Node, Message, Moment, Actions);
   }
 };
 
 } // namespace
 
-void peerMessage(gateway_node &Node, const peer_message_arrived &Event,
-                 moment Moment, actions &Actions) {
+void handlePeerMessage(gateway_node &Node, const peer_message_arrived &Event,
+                       moment Moment, actions &Actions) {
   std::visit(message_handler{Node, Event.From, Moment, Actions}, Event.Message);
 }
 
@@ -104,45 +104,47 @@
   return Tokens;
 }
 
-static void abandonUnsent(gateway_node &Node, std::uint64_t Token,
-                          const std::string &Reason, actions &Actions) {
+static void abandonUnsentRequest(gateway_node &Node, std::uint64_t Token,
+                                 const std::string &Reason, actions &Actions) {
   const work_request &Request = Node.Work.at(Token).Request;
   removeQueued(Node.Queues[Request.Service], Request.Customer, Token);
-  giveUp(Node, Token, Reason, Actions);
+  abandonRequest(Node, Token, Reason, Actions);
 }
 
-void witnessLost(gateway_node &Node, const std::string &Witness,
-                 actions &Actions) {
+void handleWitnessUnreachable(gateway_node &Node, const std::string &Witness,
+                              actions &Actions) {
   for (const std::uint64_t Token : tokensWaitingForWitness(Node))
     if (Node.Work.at(Token).Home.Witness == Witness)
-      abandonUnsent(Node, Token, "the witness can't be reached", Actions);
+      abandonUnsentRequest(Node, Token, "the witness can't be reached",
+                           Actions);
 }
 
-void peersChanged(gateway_node &Node, const peers_changed &Event,
-                  actions &Actions) {
+void handlePeersChanged(gateway_node &Node, const peers_changed &Event,
+                        actions &Actions) {
   Node.Peers = Event.Peers;
   Node.Witnesses = Event.Witnesses;
   const std::vector<std::string> &Up = Event.Witnesses;
   for (const std::uint64_t Token : tokensWaitingForWitness(Node)) {
     const std::string &Witness = Node.Work.at(Token).Home.Witness;
     if (std::find(Up.begin(), Up.end(), Witness) == Up.end())
-      abandonUnsent(Node, Token, "the witness is gone", Actions);
+      abandonUnsentRequest(Node, Token, "the witness is gone", Actions);
   }
 }
 
 static void expireWaiting(gateway_node &Node, moment Moment, actions &Actions) {
   for (auto &[Service, Queue] : Node.Queues)
     for (const queued_request &Request : expireQueued(Queue, Moment.Now))
-      giveUp(Node, Request.Token, "deadline passed in the queue", Actions);
+      abandonRequest(Node, Request.Token, "deadline passed in the queue",
+                     Actions);
   for (const std::uint64_t Token : tokensWaitingForWitness(Node)) {
     work_item &Item = Node.Work.at(Token);
     const instant Until =
         std::min(Item.Request.Deadline,
                  Item.WitnessFirstAsked + Node.Settings.WitnessLimit);
     if (Moment.Now >= Until)
-      abandonUnsent(Node, Token, "the witness did not answer", Actions);
+      abandonUnsentRequest(Node, Token, "the witness did not answer", Actions);
     else if (Moment.Now >= Item.WitnessAsked + Node.Settings.WitnessRepeat)
-      askWitness(Item, Moment, Actions);
+      requestWitnessRecord(Item, Moment, Actions);
   }
 }
 
@@ -159,15 +161,15 @@
     Actions.push_back(write_record{*Next});
 }
 
-void tick(gateway_node &Node, moment Moment, actions &Actions) {
+void handleTick(gateway_node &Node, moment Moment, actions &Actions) {
   expireWaiting(Node, Moment, Actions);
-  releaseLingering(Node, Moment.Now);
+  releaseUnconfirmedWork(Node, Moment.Now);
   expireKeys(Node.Owned, Node.Settings.Keys, Moment.WallMs);
   expireKeys(Node.Witnessed, Node.Settings.Keys, Moment.WallMs);
   for (auto &Message : loanTick(Node.Budget, Node.Settings.Budget, Moment.Now))
     Actions.push_back(send_to_peer{Message.To, Message.Message});
   planRecord(Node, Moment, Actions);
-  pumpAll(Node, Moment, Actions);
+  sendAllQueued(Node, Moment, Actions);
 }
 
 } // namespace amaranthhoist::gateway
--- a/Libraries/Gateway/prospects.cpp
+++ b/Libraries/Gateway/prospects.cpp
@@ -12,18 +12,18 @@
       });
 }
 
-/// Whether anything here ends by itself soon and makes room. Work of unknown
-/// end gives its units back by time alone, and counts if that is near: without
-/// it, goodput falls by up to a tenth when servers lose answers (policy bench).
+/// Whether work in progress here will end soon and free units. Unconfirmed work
+/// frees its units only by time and counts if that time is near: without it,
+/// goodput falls by up to a tenth when servers lose responses (policy bench).
 static bool hasWorkInProgress(const gateway_node &Node, instant Now) {
   std::int64_t InFlight = 0;
   for (const auto &[Name, Target] : Node.Targets)
     InFlight += Target.InFlight;
-  const instant Soon = Now + Node.Settings.StallLimit;
-  const auto Far = std::count_if(
+  const instant Horizon = Now + Node.Settings.StallLimit;
+  const auto EndsLater = std::count_if(
       Node.Lingering.begin(), Node.Lingering.end(),
-      [Soon](const lingering_work &Work) { return Work.Until > Soon; });
-  return InFlight > Far;
+      [Horizon](const lingering_work &Work) { return Work.Until > Horizon; });
+  return InFlight > EndsLater;
 }
 
 bool isStalled(const gateway_node &Node, const std::string &Service,
@@ -31,42 +31,43 @@
   auto Since = Node.StalledSince.find(Service);
   if (Since == Node.StalledSince.end() || hasWorkInProgress(Node, Now))
     return false;
-  const instant Known = Since->second + Node.Settings.StallLimit;
-  return Now >= Known && Now < Known + Node.Settings.StallMemory;
+  const instant Detected = Since->second + Node.Settings.StallLimit;
+  return Now >= Detected && Now < Detected + Node.Settings.StallMemory;
 }
 
-static void noteStall(gateway_node &Node, const std::string &Service,
-                      instant Now) {
+static void updateStall(gateway_node &Node, const std::string &Service,
+                        instant Now) {
   if (hasWorkInProgress(Node, Now)) {
     Node.StalledSince.erase(Service);
     return;
   }
-  const auto [Since, Fresh] = Node.StalledSince.try_emplace(Service, Now);
-  const duration Memory = Node.Settings.StallLimit + Node.Settings.StallMemory;
-  if (!Fresh && Now >= Since->second + Memory)
+  const auto [Since, IsNew] = Node.StalledSince.try_emplace(Service, Now);
+  const duration StallCycle =
+      Node.Settings.StallLimit + Node.Settings.StallMemory;
+  if (!IsNew && Now >= Since->second + StallCycle)
     Since->second = Now;
 }
 
-/// Without this a request waits in the queue for servers that are known to be
-/// dead, sent only as one of their trials, or for units that come back when a
-/// dead holder's row is removed: its caller is told after seconds, up to its
-/// deadline, what is known before, and could have been served at another site.
-/// When all servers of a site die, the longest wait for a refusal is 22 ms
-/// instead of 3.2 s, over real processes; a wait for units ends after
-/// StallLimit instead of up to 12 s.
-void refuseHopeless(gateway_node &Node, const std::string &Service, instant Now,
-                    actions &Actions) {
+/// Without this, a request waits in the queue for servers that are down, sent
+/// only as one of their trial requests, or for units that are freed when the
+/// row of a dead holder is removed: its caller gets a refusal after seconds, up
+/// to its deadline, that could be sent immediately, and could have been served
+/// at another site. When all servers of a site die, the longest wait for a
+/// refusal is 22 ms instead of 3.2 s, measured over real processes; a wait for
+/// units ends after StallTimeout instead of up to 12 s.
+void refuseUnservable(gateway_node &Node, const std::string &Service,
+                      instant Now, actions &Actions) {
   fair_queue &Queue = Node.Queues[Service];
   if (Queue.Total == 0)
     return;
-  noteStall(Node, Service, Now);
+  updateStall(Node, Service, Now);
   const bool NoServer = hasNoServer(Node, Service);
   if (!NoServer && !isStalled(Node, Service, Now))
     return;
   const std::string Reason =
       NoServer ? "no backend server takes work" : "no share to run it on";
   while (auto Next = dequeue(Queue))
-    giveUp(Node, Next->Token, Reason, Actions);
+    abandonRequest(Node, Next->Token, Reason, Actions);
 }
 
 } // namespace amaranthhoist::gateway
--- a/Tests/gateway_test.cpp
+++ b/Tests/gateway_test.cpp
@@ -1,4 +1,4 @@
-// One gateway node: what it refuses at once, and when.
+// One gateway node: which requests it refuses immediately, and when.
 
 #include "Gateway/gateway.h"
 #include "Objects/objects.h"
@@ -18,7 +18,7 @@
 
 moment at(instant Now) { return {Now, Now.time_since_epoch().count() / 1'000}; }
 
-/// A node of one site, and what it has answered so far.
+/// A node of one site, and the actions that it has returned so far.
 struct node_under_test {
   gateway_node Node = makeGateway({.Id = Self, .FailureDomain = "north-a"});
   std::map<std::uint64_t, finish_request> Finished;
@@ -40,8 +40,9 @@
     }
   }
 
-  /// A site of two servers of three slots. The node holds \p Power units and
-  /// all slots; without power, a dead gateway holds everything.
+  /// Sets up a site of two servers with three slots each. The node holds \p
+  /// Power units and all slots; with \p Power 0, a dead gateway holds
+  /// everything.
   void serve(std::int64_t Power) {
     site_settings Site{"site-a", "north", "north-a", 100, 0, 0, {{Service, 1}}};
     std::vector<target_settings> Targets;
@@ -77,7 +78,8 @@
     return Request.Token;
   }
 
-  /// Ends everything that is sent, and what is sent for that, in the same way.
+  /// Ends all sent requests with \p End, including those that are sent in
+  /// response.
   void endAll(target_end End, instant Now) {
     while (!Sent.empty()) {
       const send_to_target Send = Sent.back();
@@ -86,7 +88,7 @@
     }
   }
 
-  /// Requests until each server is quarantined.
+  /// Sends requests until each server is quarantined.
   void failServers(target_end End, instant Now) {
     constexpr int Enough = 20;
     for (int Number = 0; Number < Enough; ++Number) {
@@ -106,12 +108,13 @@
 };
 // clang-format on
 
-// Symptom: when all servers of a site die, holds are told not run and downloads
-// refused only after seconds, up to 3.2 s in ten runs. Sequence: connections
-// are refused, each server is quarantined after three; later requests wait in
-// the queue. Cause: only each quarantine's trial, one a server in half a
-// second, took a request from the queue ("attempts": 3, "took_us": 1511384).
-TEST(Gateway, RequestsForDeadServersAreRefusedAtOnce) {
+// Regression: when all servers of a site died, holds got "not run" and
+// downloads were refused only after seconds, up to 3.2 s in ten runs.
+// Connections are refused, each server is quarantined after three failures, and
+// later requests wait in the queue. Only the trial request of each
+// quarantine, one per server in half a second, took a request from the queue
+// ("attempts": 3, "took_us": 1511384).
+TEST(Gateway, RequestsAreRefusedImmediatelyWhenAllServersAreDown) {
   Gateway.serve(100);
   Gateway.failServers(target_end::NotReached, Start);
   const instant Later = Start + milliseconds(100);
@@ -125,8 +128,9 @@
   CHECK(makeOffer(Gateway.Node, Service, Later).Suspect);
 }
 
-// The same for what waits already when the last server's death is seen.
-TEST(Gateway, WhatWaitsForDeadServersIsRefusedWithThem) {
+// The same for requests that are already waiting when the last server goes
+// down.
+TEST(Gateway, QueuedRequestsAreRefusedWhenLastServerGoesDown) {
   Gateway.serve(100);
   constexpr std::size_t Waiting = 12;
   std::vector<std::uint64_t> Tokens;
@@ -138,8 +142,9 @@
     CHECK(Gateway.Finished.contains(Token));
 }
 
-// A server that is back is found by one request, and its offer says so before.
-TEST(Gateway, ServersThatAreBackAreFoundByATrial) {
+// A recovered server is detected by one request, and the load report already
+// shows the slot for that request.
+TEST(Gateway, RecoveredServersAreDetectedByTrialRequest) {
   Gateway.serve(100);
   Gateway.failServers(target_end::NotReached, Start);
   const instant Later = Start + seconds(1);
@@ -153,22 +158,22 @@
   LONGS_EQUAL(4, makeOffer(Gateway.Node, Service, Later).FreeUnits);
 }
 
-// A few requests shed are no proof of death: requests wait for the trial, and
-// are refused only when that has failed too.
-TEST(Gateway, AFirstQuarantineIsWaitedFor) {
+// A few shed requests do not prove that a server is down: requests wait for the
+// trial request and are refused only when that has failed too.
+TEST(Gateway, RequestsWaitDuringFirstQuarantine) {
   Gateway.serve(100);
   Gateway.failServers(target_end::Shed, Start);
   const auto Waiting = Gateway.arrive(work_class::Idempotent, Start);
   CHECK(!Gateway.Finished.contains(Waiting));
   const instant Later = Start + seconds(1);
   Gateway.step(clock_tick{}, Later);
-  // One trial for each server.
+  // One trial request for each server.
   LONGS_EQUAL(2, Gateway.Sent.size());
   Gateway.endAll(target_end::Completed, Later);
   CHECK(Gateway.Finished[Waiting].Outcome == outcome::Answered);
 }
 
-TEST(Gateway, AFailedTrialEndsTheWait) {
+TEST(Gateway, FailedTrialRequestEndsWait) {
   Gateway.serve(100);
   Gateway.failServers(target_end::Shed, Start);
   const auto Waiting = Gateway.arrive(work_class::Idempotent, Start);
@@ -180,44 +185,45 @@
   CHECK(Gateway.Finished[Waiting].Outcome == outcome::Refused);
 }
 
-// Symptom: enquiries answered after 11 s, once a region's gateways have died
-// and are back. Sequence: the new gateway has no share until the dead one's row
-// is removed, after 13 s; requests wait in its queue. Cause: nothing told a
-// wait for work in progress from a wait for nothing.
-TEST(Gateway, AGatewayWithoutAShareRefusesAfterAWaitInVain) {
+// Regression: enquiries were answered after 11 s when the gateways of a region
+// had died and were started again. The new gateway has no share until the row
+// of the dead one is removed, after 13 s, and requests wait in its queue. The
+// queue did not distinguish a wait for work in progress from a wait without
+// any.
+TEST(Gateway, GatewayWithoutShareRefusesAfterStallTimeout) {
   Gateway.serve(0);
   const auto First = Gateway.arrive(work_class::Idempotent, Start);
   CHECK(!Gateway.Finished.contains(First));
-  const instant Known = Start + Gateway.Node.Settings.StallLimit;
-  Gateway.step(clock_tick{}, Known);
+  const instant StallDetected = Start + Gateway.Node.Settings.StallLimit;
+  Gateway.step(clock_tick{}, StallDetected);
   CHECK(Gateway.Finished.contains(First));
-  CHECK(makeOffer(Gateway.Node, Service, Known).Suspect);
-  const auto Second = Gateway.arrive(work_class::Idempotent, Known);
+  CHECK(makeOffer(Gateway.Node, Service, StallDetected).Suspect);
+  const auto Second = Gateway.arrive(work_class::Idempotent, StallDetected);
   CHECK(Gateway.Finished.contains(Second));
 }
 
-// Refusals end when what they are based on is old, or a share comes.
-TEST(Gateway, AShareThatComesIsUsedAtOnce) {
+// Refusals end when the stall state is outdated, or when a share arrives.
+TEST(Gateway, ArrivingShareIsUsedImmediately) {
   Gateway.serve(0);
   Gateway.arrive(work_class::Idempotent, Start);
   const gateway_settings &Settings = Gateway.Node.Settings;
-  const instant Known = Start + Settings.StallLimit;
-  Gateway.step(clock_tick{}, Known);
-  const instant Old = Known + Settings.StallMemory;
-  CHECK(
-      !Gateway.Finished.contains(Gateway.arrive(work_class::Idempotent, Old)));
-  Gateway.step(clock_tick{}, Old + Settings.StallLimit);
+  const instant StallDetected = Start + Settings.StallLimit;
+  Gateway.step(clock_tick{}, StallDetected);
+  const instant RefusalsEnd = StallDetected + Settings.StallMemory;
+  CHECK(!Gateway.Finished.contains(
+      Gateway.arrive(work_class::Idempotent, RefusalsEnd)));
+  Gateway.step(clock_tick{}, RefusalsEnd + Settings.StallLimit);
   pool_record Record{2, {}};
   Record.Shares[Self] = {{PowerResource, 100}, {slotResource("t-1"), 3}};
-  Gateway.step(record_seen{Record}, Old + Settings.StallLimit);
-  Gateway.arrive(work_class::Idempotent, Old + Settings.StallLimit);
+  Gateway.step(record_seen{Record}, RefusalsEnd + Settings.StallLimit);
+  Gateway.arrive(work_class::Idempotent, RefusalsEnd + Settings.StallLimit);
   LONGS_EQUAL(1, Gateway.Sent.size());
 }
 
-// Symptom: a gateway that is asked to stop waits for its limit of ten minutes.
-// Sequence: it has lent units to a peer, which dies; then it is asked to stop.
-// Cause: only a gateway that stays took back what it had lent to the dead.
-TEST(Gateway, AGatewayLeavesThoughItsBorrowerIsDead) {
+// Regression: a gateway that was asked to stop waited for its limit of ten
+// minutes, when it had lent units to a peer that died before the stop. Only a
+// gateway that was not shutting down reclaimed the loans of dead holders.
+TEST(Gateway, GatewayShutsDownAlthoughItsBorrowerIsDead) {
   Gateway.serve(100);
   Gateway.step(
       peer_message_arrived{
@@ -230,7 +236,7 @@
   Gateway.step(drain_changed{true, true}, Start);
   Gateway.Written.clear();
   Gateway.step(clock_tick{}, Start + seconds(1));
-  // The borrower's last work may run until then.
+  // The last work of the borrower may run until then.
   LONGS_EQUAL(0, Gateway.Written.size());
   Gateway.step(clock_tick{}, Start + budget_timing{}.ReclaimDelay);
   LONGS_EQUAL(1, Gateway.Written.size());
