--- a/Libraries/Entry/entry.cpp
+++ b/Libraries/Entry/entry.cpp
@@ -20,8 +20,8 @@
   return Found == Node.Contracts.end() ? nullptr : &Found->second;
 }
 
-static bool permits(const std::vector<std::string> &Names,
-                    const std::string &Name) {
+static bool isAllowed(const std::vector<std::string> &Names,
+                      const std::string &Name) {
   return Names.empty() ||
          std::find(Names.begin(), Names.end(), Name) != Names.end();
 }
@@ -37,7 +37,7 @@
   std::vector<const offer *> Offers;
   std::set<std::string> Sites;
   for (const auto &[Gateway, Offer] : Known->second) {
-    if (!permits(Contract->Regions, Offer.Region) ||
+    if (!isAllowed(Contract->Regions, Offer.Region) ||
         Node.DrainingSites.contains(Offer.Site))
       continue;
     Offers.push_back(&Offer);
@@ -48,8 +48,8 @@
                     Node.Settings.Routing, Now, Node.Random);
 }
 
-/// The best offer for a witness of \p Owner: the same region keeps the round
-/// trip before each send short.
+/// Returns the best offer for a witness of \p Owner. Only the same region
+/// qualifies, which keeps the round trip before each send short.
 static const offer *findWitness(std::span<const offer *const> Ranked,
                                 const offer &Owner) {
   for (const offer *Witness : Ranked)
@@ -84,8 +84,8 @@
   Actions.push_back(finish_caller{Token, Outcome, Reason, RetryAfter});
 }
 
-static duration comeBack(const entry_node &Node,
-                         const caller_request &Request) {
+static duration retryAfterFor(const entry_node &Node,
+                              const caller_request &Request) {
   return spreadRetryAfter(Node.Settings.RetryAfter, Request.RequestId);
 }
 
@@ -103,19 +103,20 @@
   Actions.push_back(Action);
 }
 
-static void askTheWitness(entry_work &Work, actions &Actions) {
+static void queryWitness(entry_work &Work, actions &Actions) {
   Work.AskedWitness = true;
   Actions.push_back(
       ask_witness{Work.Request.Token, Work.Home.Witness, Work.Request.Key});
 }
 
-/// Why a request is turned away before it is forwarded; empty when it isn't.
-static std::string refusalOf(entry_node &Node, const caller_request &Request,
-                             instant Now) {
+/// Returns the reason to refuse a request before it is forwarded, or an empty
+/// string if it is accepted.
+static std::string refusalReason(entry_node &Node,
+                                 const caller_request &Request, instant Now) {
   const contract *Contract = findContract(Node, Request.Customer);
   if (!Contract)
     return "no contract for this customer";
-  if (!permits(Contract->Services, Request.Service))
+  if (!isAllowed(Contract->Services, Request.Service))
     return "the contract doesn't include this service";
   if (Now >= Request.Deadline)
     return "the deadline has passed";
@@ -135,19 +136,19 @@
   result<parsed_key> Parsed = parseKey(Work.Request.Key);
   if (!Parsed) {
     finish(Node, Work.Request.Token, outcome::Refused, Parsed.error().Message,
-           comeBack(Node, Work.Request), Actions);
+           retryAfterFor(Node, Work.Request), Actions);
     return;
   }
   Work.Home = Parsed->Home;
   if (Node.Gateways.contains(Work.Home.Owner))
     forward(Node, Work, Work.Home.Owner, Actions);
   else
-    askTheWitness(Work, Actions);
+    queryWitness(Work, Actions);
 }
 
 static void startIdempotent(entry_node &Node, entry_work &Work, instant Now,
                             actions &Actions) {
-  // More than can be tried are of no use.
+  // Only as many candidates as may be tried.
   const auto Wanted = static_cast<std::size_t>(Node.Settings.MaxForwards);
   for (const offer *Offer : candidateOffers(Node, Work.Request.Customer,
                                             Work.Request.Service, Now)) {
@@ -157,7 +158,8 @@
   }
   if (Work.Candidates.empty()) {
     finish(Node, Work.Request.Token, outcome::Refused,
-           "no site serves this now", comeBack(Node, Work.Request), Actions);
+           "no site serves this now", retryAfterFor(Node, Work.Request),
+           Actions);
     return;
   }
   const std::string First = Work.Candidates.front();
@@ -165,14 +167,14 @@
   forward(Node, Work, First, Actions);
 }
 
-static void start(entry_node &Node, const caller_request &Request, instant Now,
-                  actions &Actions) {
-  const std::string Refusal = refusalOf(Node, Request, Now);
+static void handleRequest(entry_node &Node, const caller_request &Request,
+                          instant Now, actions &Actions) {
+  const std::string Refusal = refusalReason(Node, Request, Now);
   if (!Refusal.empty()) {
-    // Only the home may say that a key was not run: this says no more than
-    // that this copy went no further.
+    // Only the home of a key may report that it was not executed. This refusal
+    // only says that this copy was not forwarded.
     Actions.push_back(finish_caller{Request.Token, outcome::Refused, Refusal,
-                                    comeBack(Node, Request)});
+                                    retryAfterFor(Node, Request)});
     return;
   }
   earnRetry(Node.Retries.try_emplace(Request.Customer, Node.Settings.Retries)
@@ -185,9 +187,9 @@
     startIdempotent(Node, Work, Now, Actions);
 }
 
-/// Tries the next gateway for idempotent work, within the retry budget.
-static bool tryNext(entry_node &Node, entry_work &Work, instant Now,
-                    actions &Actions) {
+/// Forwards idempotent work to the next gateway, within the retry budget.
+static bool tryNextGateway(entry_node &Node, entry_work &Work, instant Now,
+                           actions &Actions) {
   if (Work.Request.Class != work_class::Idempotent || Work.Candidates.empty() ||
       Now >= Work.Request.Deadline ||
       Work.Forwards >= Node.Settings.MaxForwards ||
@@ -199,19 +201,19 @@
   return true;
 }
 
-static void answered(entry_node &Node, const gateway_answered &Event,
-                     instant Now, actions &Actions) {
+static void handleResponse(entry_node &Node, const gateway_answered &Event,
+                           instant Now, actions &Actions) {
   auto Found = Node.Work.find(Event.Token);
   if (Found == Node.Work.end() || Found->second.AskedWitness)
     return;
   if (Event.Outcome == outcome::Refused &&
-      tryNext(Node, Found->second, Now, Actions))
+      tryNextGateway(Node, Found->second, Now, Actions))
     return;
   finish(Node, Event.Token, Event.Outcome, Event.Reason, Event.RetryAfter,
          Actions);
 }
 
-static void suspect(entry_node &Node, const std::string &Gateway) {
+static void markSuspect(entry_node &Node, const std::string &Gateway) {
   for (auto &[Service, Offers] : Node.Offers) {
     auto Found = Offers.find(Gateway);
     if (Found != Offers.end())
@@ -219,38 +221,38 @@
   }
 }
 
-static void failed(entry_node &Node, const gateway_failed &Event, instant Now,
-                   actions &Actions) {
+static void handleGatewayFailure(entry_node &Node, const gateway_failed &Event,
+                                 instant Now, actions &Actions) {
   auto Found = Node.Work.find(Event.Token);
   if (Found == Node.Work.end() || Found->second.AskedWitness)
     return;
   entry_work &Work = Found->second;
   if (Work.Request.Class == work_class::NonIdempotent) {
-    suspect(Node, Work.Home.Owner);
+    markSuspect(Node, Work.Home.Owner);
     Work.MaybeDelivered = Work.MaybeDelivered || Event.MaybeDelivered;
-    askTheWitness(Work, Actions);
+    queryWitness(Work, Actions);
     return;
   }
-  if (!Event.Streamed && tryNext(Node, Work, Now, Actions))
+  if (!Event.Streamed && tryNextGateway(Node, Work, Now, Actions))
     return;
   finish(Node, Event.Token, outcome::Refused, "the gateway went away",
-         comeBack(Node, Work.Request), Actions);
+         retryAfterFor(Node, Work.Request), Actions);
 }
 
-/// Owner and witness are both out of reach. If this copy never left the entry,
-/// it is enough to say that it went no further.
-static void witnessLost(entry_node &Node, std::uint64_t Token,
-                        actions &Actions) {
+/// Owner and witness are both unreachable. If this copy was never delivered,
+/// the outcome only says that it was not forwarded.
+static void handleWitnessFailure(entry_node &Node, std::uint64_t Token,
+                                 actions &Actions) {
   auto Found = Node.Work.find(Token);
   if (Found == Node.Work.end())
     return;
   const entry_work &Work = Found->second;
   finish(Node, Token, Work.MaybeDelivered ? outcome::Unknown : outcome::Refused,
-         "the key's home can't be reached", comeBack(Node, Work.Request),
+         "the key's home can't be reached", retryAfterFor(Node, Work.Request),
          Actions);
 }
 
-static void hearOffer(entry_node &Node, const offer_heard &Event) {
+static void applyOffer(entry_node &Node, const offer_heard &Event) {
   offer Offer = Event.Offer;
   if (!Node.Gateways.contains(Offer.Gateway))
     return;
@@ -260,30 +262,32 @@
   Node.Offers[Event.Service][Offer.Gateway] = Offer;
 }
 
-/// Requests at a gateway that is gone or doesn't show life don't wait for their
-/// deadlines: a frozen process keeps its connections open.
-static void giveUpGateways(entry_node &Node, instant Now, actions &Actions) {
-  std::vector<std::uint64_t> Lost;
+/// Fails the requests at gateways that were removed or show no sign of life,
+/// instead of waiting for their deadlines: a frozen process keeps its
+/// connections open.
+static void failRequestsAtRemovedGateways(entry_node &Node, instant Now,
+                                          actions &Actions) {
+  std::vector<std::uint64_t> Affected;
   for (const auto &[Token, Work] : Node.Work)
     if (!Work.Gateway.empty() && !Node.Gateways.contains(Work.Gateway))
-      Lost.push_back(Token);
-  std::sort(Lost.begin(), Lost.end());
-  for (const std::uint64_t Token : Lost)
-    failed(Node, {Token, true, false}, Now, Actions);
+      Affected.push_back(Token);
+  std::sort(Affected.begin(), Affected.end());
+  for (const std::uint64_t Token : Affected)
+    handleGatewayFailure(Node, {Token, true, false}, Now, Actions);
 }
 
-static void setGateways(entry_node &Node,
-                        const std::vector<std::string> &Gateways, instant Now,
-                        actions &Actions) {
+static void applyGateways(entry_node &Node,
+                          const std::vector<std::string> &Gateways, instant Now,
+                          actions &Actions) {
   Node.Gateways = {Gateways.begin(), Gateways.end()};
   for (auto &[Service, Offers] : Node.Offers)
     std::erase_if(Offers, [&](const auto &Entry) {
       return !Node.Gateways.contains(Entry.first);
     });
-  giveUpGateways(Node, Now, Actions);
+  failRequestsAtRemovedGateways(Node, Now, Actions);
 }
 
-static void leave(entry_node &Node, std::uint64_t Token) {
+static void handleDisconnect(entry_node &Node, std::uint64_t Token) {
   auto Found = Node.Work.find(Token);
   if (Found == Node.Work.end())
     return;
@@ -291,9 +295,9 @@
   Node.Work.erase(Found);
 }
 
-/// A request whose time is over gets its answer now, not when the gateway's
-/// silence ends.
-static void expire(entry_node &Node, instant Now, actions &Actions) {
+/// Finishes requests whose deadline has passed immediately, instead of waiting
+/// until the gateway is detected as failed.
+static void expireRequests(entry_node &Node, instant Now, actions &Actions) {
   std::vector<std::uint64_t> Expired;
   for (const auto &[Token, Work] : Node.Work)
     if (Now >= Work.Request.Deadline)
@@ -316,25 +320,27 @@
   actions &Actions;
 
   void operator()(const caller_request &Event) const {
-    start(Node, Event, Now, Actions);
+    handleRequest(Node, Event, Now, Actions);
   }
   void operator()(const gateway_answered &Event) const {
-    answered(Node, Event, Now, Actions);
+    handleResponse(Node, Event, Now, Actions);
   }
   void operator()(const gateway_failed &Event) const {
-    failed(Node, Event, Now, Actions);
+    handleGatewayFailure(Node, Event, Now, Actions);
   }
   void operator()(const witness_answered &Event) const {
     finish(Node, Event.Token, Event.Outcome, "the owner is gone",
            Event.RetryAfter, Actions);
   }
   void operator()(const witness_failed &Event) const {
-    witnessLost(Node, Event.Token, Actions);
+    handleWitnessFailure(Node, Event.Token, Actions);
+  }
+  void operator()(const caller_left &Event) const {
+    handleDisconnect(Node, Event.Token);
   }
-  void operator()(const caller_left &Event) const { leave(Node, Event.Token); }
-  void operator()(const offer_heard &Event) const { hearOffer(Node, Event); }
+  void operator()(const offer_heard &Event) const { applyOffer(Node, Event); }
   void operator()(const gateways_changed &Event) const {
-    setGateways(Node, Event.Gateways, Now, Actions);
+    applyGateways(Node, Event.Gateways, Now, Actions);
   }
   void operator()(const contract_changed &Event) const {
     Node.Contracts[Event.Contract.Customer] = Event.Contract;
@@ -348,7 +354,9 @@
   void operator()(const draining_sites_changed &Event) const {
     Node.DrainingSites = Event.Sites;
   }
-  void operator()(const entry_tick &) const { expire(Node, Now, Actions); }
+  void operator()(const entry_tick &) const {
+    expireRequests(Node, Now, Actions);
+  }
 };
 
 } // namespace
--- a/Libraries/Entry/entry.h
+++ b/Libraries/Entry/entry.h
@@ -1,5 +1,5 @@
-/// Decisions of an entry: identify the contract, check the deadline, take the
-/// customer's limit, choose site and gateway, forward. Sans-I/O.
+/// Decisions of an entry: identifies the contract, checks the deadline, applies
+/// the customer's limit, chooses site and gateway, and forwards. Sans-I/O.
 #pragma once
 
 #include "Admission/admission.h"
@@ -18,7 +18,7 @@
 
 namespace amaranthhoist {
 
-/// A request as a caller makes it.
+/// A request as a caller sends it.
 struct caller_request {
   std::uint64_t Token = 0;
   std::string RequestId;
@@ -32,14 +32,15 @@
 /// Settings of an entry.
 struct entry_settings {
   std::string Region;
-  /// One way to each region, this one included.
+  /// One-way latency to each region, including this one.
   std::map<std::string, duration> LinkLatency;
   routing_policy Routing;
   retry_budget Retries;
-  /// Kept from a request's time for the way back: the gateway's last word then
-  /// comes before the caller's deadline, and says more than this entry can.
+  /// Subtracted from a request's time for the way back: the final outcome of
+  /// the gateway then arrives before the caller's deadline and is more precise
+  /// than what this entry can report.
   duration HopMargin = std::chrono::milliseconds(50);
-  /// Forwards per request, the first included.
+  /// Maximum forwards per request, including the first.
   std::int32_t MaxForwards = 2;
   duration RetryAfter = std::chrono::seconds(1);
   std::uint64_t Seed = 0;
@@ -54,12 +55,12 @@
   duration RetryAfter{};
 };
 
-/// The gateway could not be reached, or went away before its answer.
+/// The gateway could not be reached, or failed before its response.
 struct gateway_failed {
   std::uint64_t Token = 0;
-  /// Whether the request may have reached it.
+  /// Whether the request may have been delivered.
   bool MaybeDelivered = true;
-  /// Whether a part of the answer has reached the caller already.
+  /// Whether part of the response has already reached the caller.
   bool Streamed = false;
 };
 
@@ -74,18 +75,18 @@
   std::uint64_t Token = 0;
 };
 
-/// The caller went away.
+/// The caller disconnected.
 struct caller_left {
   std::uint64_t Token = 0;
 };
 
-/// An offer, of one service, that rode on an answer or was polled.
+/// An offer for one service, received with a response or by polling.
 struct offer_heard {
   std::string Service;
   offer Offer;
 };
 
-/// The gateways in force, by id; offers of others are forgotten.
+/// The current gateways, by id; offers of other gateways are removed.
 struct gateways_changed {
   std::vector<std::string> Gateways;
 };
@@ -98,12 +99,12 @@
   std::string Customer;
 };
 
-/// How many entries share each customer's limit.
+/// Number of entries that share each customer's limit.
 struct entries_changed {
   std::int64_t Entries = 1;
 };
 
-/// Sites that an operator drains: no new work, and no new homes.
+/// Sites that operators drain: they get no new work and no new homes.
 struct draining_sites_changed {
   std::set<std::string> Sites;
 };
@@ -132,7 +133,7 @@
   std::string Key;
 };
 
-/// The final answer; with Answered, the gateway's body follows.
+/// The final outcome; if it is Answered, the body from the gateway follows.
 struct finish_caller {
   std::uint64_t Token = 0;
   outcome Outcome = outcome::Refused;
@@ -144,12 +145,12 @@
 
 // State.
 
-/// A request in this entry's care.
+/// A request that this entry is handling.
 struct entry_work {
   caller_request Request;
-  /// Gateways still to try, best first; idempotent work only.
+  /// Gateways that were not tried yet, best first; idempotent work only.
   std::vector<std::string> Candidates;
-  /// Where it was forwarded last.
+  /// Gateway that the request was forwarded to last.
   std::string Gateway;
   std::int32_t Forwards = 0;
   home_token Home;
@@ -173,20 +174,20 @@
 
 entry_node makeEntry(const entry_settings &Settings);
 
-/// Takes in one event; returns what is to be done.
+/// Handles one event and returns the resulting actions.
 std::vector<entry_action> stepEntry(entry_node &Node, const entry_event &Event,
                                     instant Now);
 
-/// Offers that \p Customer may use for \p Service now, best first. Draws from
-/// the node's random numbers. Points into the node.
+/// Returns the offers that \p Customer may use for \p Service now, best first.
+/// Draws from the node's random numbers. The result points into the node.
 std::vector<const offer *> candidateOffers(entry_node &Node,
                                            const std::string &Customer,
                                            const std::string &Service,
                                            instant Now);
 
-/// A home for a new key: the best gateway as owner and, as witness, one of the
-/// same region that runs in another failure domain. NotFound when there are no
-/// two.
+/// Chooses a home for a new key: the best gateway as owner and, as witness, a
+/// gateway of the same region in another failure domain. Returns NotFound if
+/// there is no such pair.
 result<home_token> chooseHome(entry_node &Node, const std::string &Customer,
                               const std::string &Service,
                               std::int64_t ExpiresAtMs, instant Now);
