--- a/Libraries/Admission/admission.cpp
+++ b/Libraries/Admission/admission.cpp
@@ -4,7 +4,7 @@
 
 namespace amaranthhoist {
 
-/// Deficit earned in one turn per unit of weight. One request costs as much.
+/// Deficit added in one turn per unit of weight. One request costs the same.
 static constexpr std::int64_t QuantumPerWeight = 1;
 
 static void append(fair_queue &Queue, const queued_request &Request) {
@@ -15,8 +15,8 @@
   ++Queue.Total;
 }
 
-static void dropCustomerIfEmpty(fair_queue &Queue,
-                                const std::string &Customer) {
+static void removeCustomerIfEmpty(fair_queue &Queue,
+                                  const std::string &Customer) {
   auto Found = Queue.Customers.find(Customer);
   if (Found == Queue.Customers.end() || !Found->second.Requests.empty())
     return;
@@ -24,7 +24,8 @@
   std::erase(Queue.Turns, Customer);
 }
 
-/// The youngest request of the lowest priority below \p Priority.
+/// Removes and returns the youngest request of the lowest priority below \p
+/// Priority.
 static std::optional<queued_request> displaceBelow(fair_queue &Queue,
                                                    std::int32_t Priority) {
   customer_queue *Lowest = nullptr;
@@ -40,7 +41,7 @@
   queued_request Displaced = Lowest->Requests.back();
   Lowest->Requests.pop_back();
   --Queue.Total;
-  dropCustomerIfEmpty(Queue, Displaced.Customer);
+  removeCustomerIfEmpty(Queue, Displaced.Customer);
   return Displaced;
 }
 
@@ -49,7 +50,7 @@
                        instant Now) {
   enqueue_result Result;
   // A request that would time out in the queue costs its caller the whole wait
-  // and the service a slot: it's refused while there is time to go elsewhere.
+  // and the service a slot: it is refused while there is time to try elsewhere.
   if (Now + Limits.WaitPart * PredictedWait >= Request.Deadline)
     return Result;
   auto Own = Queue.Customers.find(Request.Customer);
@@ -77,7 +78,7 @@
   --Own.Deficit;
   --Queue.Total;
   if (Own.Requests.empty()) {
-    dropCustomerIfEmpty(Queue, Request.Customer);
+    removeCustomerIfEmpty(Queue, Request.Customer);
   } else if (Own.Deficit <= 0) {
     Queue.Turns.push_back(Queue.Turns.front());
     Queue.Turns.pop_front();
@@ -104,7 +105,7 @@
         return Request.Token == Token;
       });
   Queue.Total -= Removed;
-  dropCustomerIfEmpty(Queue, Customer);
+  removeCustomerIfEmpty(Queue, Customer);
   return Removed != 0;
 }
 
