--- a/Libraries/Contracts/contracts.cpp
+++ b/Libraries/Contracts/contracts.cpp
@@ -8,7 +8,7 @@
 
 using json = nlohmann::ordered_json;
 
-/// Collects all faults of one document, so that an operator sees them at once.
+/// All faults of one document, so that the operator sees them together.
 struct fault_list {
   std::vector<std::string> Faults;
 };
@@ -109,8 +109,8 @@
   return Contract.RequestsPerSecond / static_cast<double>(Entries);
 }
 
-/// A burst of a second's worth, but at least one request, or a small contract
-/// split among many entries could never be used.
+/// Allows a burst of one second's rate, but at least one request: otherwise a
+/// small contract divided among many entries could never be used.
 static double burstOf(double Rate) { return std::max(Rate, 1.0); }
 
 static void refill(customer_limit &Limit, double Rate, instant Now) {
