--- a/Libraries/Routing/routing.cpp
+++ b/Libraries/Routing/routing.cpp
@@ -34,8 +34,8 @@
   return Best;
 }
 
-/// An old offer never counts for more than one unit: whatever it promised may
-/// be long gone, and a crowd following it would land on a full site.
+/// A stale offer has a weight below one unit: the free units that it reported
+/// may no longer exist, and many requests sent to it would reach a full site.
 static double drawWeight(const offer &Offer, const routing_policy &Policy,
                          instant Now) {
   if (Offer.Suspect)
@@ -45,7 +45,7 @@
   return static_cast<double>(std::max<std::int64_t>(Offer.FreeUnits, 0)) + 0.1;
 }
 
-/// Sorted by cost, each computed once.
+/// Sorts the offers by cost; each cost is computed once.
 static std::vector<const offer *>
 sortByCost(std::span<const offer *const> Offers, std::string_view Customer,
            std::string_view PreferredSite, const routing_policy &Policy,
@@ -83,17 +83,19 @@
   for (const offer *Offer : Ranked)
     Weights.push_back(drawWeight(*Offer, Policy, Now));
   std::discrete_distribution<std::size_t> Draw(Weights.begin(), Weights.end());
-  // Sorted by cost, so the smaller index is the cheaper of the two.
+  // The offers are sorted by cost, so the smaller index is the cheaper of the
+  // two.
   const std::size_t Chosen = std::min(Draw(Random), Draw(Random));
   std::rotate(Ranked.begin(), Ranked.begin() + static_cast<long>(Chosen),
               Ranked.begin() + static_cast<long>(Chosen) + 1);
   return Ranked;
 }
 
-/// A cold target takes a quarter of its slots at first, then half, so that a
-/// large move doesn't land on empty caches at once.
-static std::int64_t slotsNow(const target_state &Target,
-                             const target_policy &Policy, instant Now) {
+/// A cold target accepts a quarter of its slots at first, then half (slow
+/// start), so that a large shift of traffic does not reach empty caches at
+/// once.
+static std::int64_t currentSlots(const target_state &Target,
+                                 const target_policy &Policy, instant Now) {
   const duration Age = Now - Target.Since;
   if (Age >= Policy.WarmUp)
     return Target.Slots;
@@ -103,11 +105,11 @@
 
 bool takesWork(const target_state &Target, const target_policy &Policy,
                instant Now) {
-  if (Target.Leaving || Target.InFlight >= slotsNow(Target, Policy, Now))
+  if (Target.Leaving || Target.InFlight >= currentSlots(Target, Policy, Now))
     return false;
   if (Target.Failures < Policy.MaxFailures)
     return true;
-  // Half open: one trial at a time after the quarantine.
+  // Half-open: one trial request at a time after the quarantine.
   return Now >= Target.QuarantinedUntil && Target.InFlight == 0;
 }
 
@@ -120,16 +122,16 @@
 }
 
 void noteTargetResult(target_state &Target, const target_policy &Policy,
-                      bool Healthy, duration Took, instant Now) {
+                      bool Healthy, duration Elapsed, instant Now) {
   if (Healthy) {
     Target.Failures = 0;
     Target.Down = false;
-    Target.Typical = (Target.Typical * 7 + Took) / 8;
+    Target.Typical = (Target.Typical * 7 + Elapsed) / 8;
     return;
   }
-  const bool WasOnTrial =
+  const bool WasHalfOpen =
       Target.Failures >= Policy.MaxFailures && Now >= Target.QuarantinedUntil;
-  Target.Down = Target.Down || WasOnTrial;
+  Target.Down = Target.Down || WasHalfOpen;
   ++Target.Failures;
   if (Target.Failures >= Policy.MaxFailures)
     Target.QuarantinedUntil = Now + Policy.Quarantine;
--- a/Libraries/Routing/routing.h
+++ b/Libraries/Routing/routing.h
@@ -1,4 +1,4 @@
-/// Choice of site and gateway at an entry, and of target at a gateway.
+/// Selection of site and gateway at an entry, and of the target at a gateway.
 #pragma once
 
 #include "Core/core.h"
@@ -12,56 +12,59 @@
 
 namespace amaranthhoist {
 
-/// What a gateway can take for one service at one site, as last heard.
+/// Load report of a gateway for one service at one site, as last received.
 struct offer {
   std::string Site;
   std::string Region;
   std::string Gateway;
-  /// Where the gateway itself runs, which may serve a neighbouring site.
+  /// Failure domain of the gateway itself, which may serve a neighbouring site.
   std::string FailureDomain;
-  /// Requests that could start at once.
+  /// Number of requests that could start immediately.
   std::int64_t FreeUnits = 0;
   duration PredictedWait{};
-  /// One way from this entry, from the settings of the regions.
+  /// One-way latency from this entry, from the region settings.
   duration LinkLatency{};
-  /// When it was heard; the default means never.
+  /// Time of receipt; the default value means never.
   instant Heard{};
-  /// Its last use failed, or the site drains: used only as a last resort.
+  /// The last use of the offer failed, or the site is draining: used only as a
+  /// last resort.
   bool Suspect = false;
 };
 
-/// How one of the ranked offers is chosen.
+/// How an offer is selected from the ranked offers.
 enum class offer_choice : std::uint8_t {
-  /// Two drawn by free units, the cheaper of them.
+  /// Draws two offers weighted by free units and selects the cheaper one.
   CheaperOfTwo,
-  /// Always the cheapest; kept to compare with (docs/DESIGN.md).
+  /// Always the cheapest offer; kept for comparison (docs/DESIGN.md).
   Cheapest,
 };
 
-/// Knobs of the site choice.
+/// Parameters of the site selection.
 struct routing_policy {
   offer_choice Choice = offer_choice::CheaperOfTwo;
-  /// After this an offer is worth a probing trickle only.
+  /// Age after which an offer is stale and gets only a few trial requests.
   duration StaleAfter = std::chrono::seconds(6);
-  /// Cost of a site this customer doesn't usually use: its caches are cold.
+  /// Cost of a site that this customer does not usually use: its caches are
+  /// cold.
   duration ColdPenalty = std::chrono::milliseconds(4);
-  /// Cost added to offers that are stale.
+  /// Cost added to stale offers.
   duration StalePenalty = std::chrono::milliseconds(50);
 };
 
-/// Expected time to the answer's start, besides the work itself.
+/// Expected time to the start of the response, excluding the work itself.
 duration offerCost(const offer &Offer, std::string_view Customer,
                    std::string_view PreferredSite, const routing_policy &Policy,
                    instant Now);
 
-/// The site that \p Customer's caches are warm at: first by rendezvous hashing
-/// among \p Sites.
+/// Returns the site where \p Customer's caches are warm: the first of \p Sites
+/// by rendezvous hashing.
 std::string preferredSite(std::span<const std::string> Sites,
                           std::string_view Customer);
 
-/// Offers in the order to try. Two are drawn weighted by free units; the
-/// cheaper goes first; the rest follow by cost. \p Random is the caller's. The
-/// result points to what \p Offers points to.
+/// Returns the offers in the order in which to try them. Two are drawn weighted
+/// by free units; the cheaper one is first; the others follow by cost. \p
+/// Random belongs to the caller. The result points to the elements that \p
+/// Offers points to.
 std::vector<const offer *> rankOffers(std::span<const offer *const> Offers,
                                       std::string_view Customer,
                                       std::string_view PreferredSite,
@@ -76,32 +79,36 @@
   std::string Address;
   std::int64_t Slots = 1;
   std::int64_t InFlight = 0;
-  /// Leaving by the list, its health, a header or a refusal: no new work.
+  /// Draining, as reported by the target list, a health check, a header or a
+  /// refusal: gets no new work.
   bool Leaving = false;
-  /// Consecutive failures; from MaxFailures on it is quarantined.
+  /// Consecutive failures; the target is quarantined when they reach
+  /// MaxFailures.
   std::int32_t Failures = 0;
-  /// No new work before this, but for one trial from then on.
+  /// No new work before this time; from then on, one trial request.
   instant QuarantinedUntil{};
-  /// In quarantine, and its connections are refused or a trial has failed: it
-  /// isn't known when it comes back. A first quarantine alone may come from a
-  /// few lost answers and is worth waiting for.
+  /// Quarantined, and its connections are refused or a trial request has
+  /// failed: the time of its recovery is unknown. A first quarantine may be
+  /// caused by a few lost responses, and requests wait for its end.
   bool Down = false;
-  /// When it began to take work; until warm it takes fewer requests.
+  /// Time at which the target became available; until it is warm it accepts
+  /// fewer requests.
   instant Since{};
-  /// Smoothed time of a request.
+  /// Smoothed duration of a request.
   duration Typical = std::chrono::milliseconds(20);
 };
 
-/// What a target costs.
+/// Cost function of the target selection.
 enum class target_choice : std::uint8_t {
-  /// Own requests in flight per slot. A slow target holds its requests longer,
-  /// so this sees its speed too.
+  /// This gateway's requests in flight per slot. A slow target holds its
+  /// requests longer, so its speed is included.
   Load,
-  /// The same times its typical time; kept to compare with (docs/DESIGN.md).
+  /// Load multiplied by the smoothed duration; kept for comparison
+  /// (docs/DESIGN.md).
   LoadAndSpeed,
 };
 
-/// Knobs of the target choice.
+/// Parameters of the target selection.
 struct target_policy {
   target_choice Choice = target_choice::Load;
   std::int32_t MaxFailures = 3;
@@ -109,19 +116,21 @@
   duration WarmUp = std::chrono::seconds(2);
 };
 
-/// Whether \p Target may take one more request at \p Now.
+/// Whether \p Target accepts one more request at \p Now.
 bool takesWork(const target_state &Target, const target_policy &Policy,
                instant Now);
 
-/// Busy part of a target's slots, and its speed; lower is better. Own counts
-/// only: a reported load may lag or mislead.
+/// Cost of a target from its busy slots and, with LoadAndSpeed, its speed;
+/// lower is better. Uses this gateway's own counts only: a reported load may be
+/// outdated or misleading.
 double targetCost(const target_state &Target, const target_policy &Policy);
 
-/// Notes how a request at \p Target ended.
+/// Records the result of a request at \p Target.
 void noteTargetResult(target_state &Target, const target_policy &Policy,
-                      bool Healthy, duration Took, instant Now);
+                      bool Healthy, duration Elapsed, instant Now);
 
-/// Notes, after its result, that a request could not be sent at all.
+/// Records that a request could not be sent at all. Call it after recording the
+/// result of the request.
 void noteNotReached(target_state &Target, const target_policy &Policy);
 
 } // namespace amaranthhoist
