--- a/Libraries/Objects/objects.cpp
+++ b/Libraries/Objects/objects.cpp
@@ -21,8 +21,8 @@
           std::string(Key.substr(Slash + 1))};
 }
 
-/// Objects are written by this program and by operators' tools; one that
-/// doesn't have the expected shape is an error value, never an exception.
+/// Objects are written by this program and by operators' tools; an object of
+/// unexpected shape gives an error value, never an exception.
 template <typename T, typename Reader>
 static result<T> parseObject(std::string_view Text, const char *What,
                              Reader Read) {
@@ -182,9 +182,9 @@
 
 void updateView(object_view &View, std::span<const item> Items) {
   for (const item &Item : Items) {
-    item &Held = View.Items[Item.Key];
-    if (Item.Version > Held.Version)
-      Held = Item;
+    item &Current = View.Items[Item.Key];
+    if (Item.Version > Current.Version)
+      Current = Item;
   }
 }
 
--- a/Libraries/Objects/objects.h
+++ b/Libraries/Objects/objects.h
@@ -1,4 +1,5 @@
-/// The platform's objects: their keys, their JSON, and what follows from them.
+/// Objects stored in the platform: their keys, their JSON format, and the state
+/// derived from them.
 #pragma once
 
 #include "Contracts/contracts.h"
@@ -13,7 +14,7 @@
 
 namespace amaranthhoist {
 
-/// Kinds of object, the first part of a key.
+/// Kinds of objects; the kind is the first part of a key.
 namespace kinds {
 inline constexpr const char *Contract = "contract";
 inline constexpr const char *Site = "site";
@@ -28,24 +29,25 @@
 /// `<kind>/<name>`.
 std::string objectKey(std::string_view Kind, std::string_view Name);
 
-/// A key split into kind and name.
+/// A key, split into kind and name.
 struct object_name {
   std::string Kind;
   std::string Name;
 };
 object_name splitKey(std::string_view Key);
 
-/// A daemon as it registers itself. The version of the object is the daemon's
-/// incarnation: unique, and rising with each start of an instance.
+/// Registration of a daemon. The version of the object is the incarnation of
+/// the daemon: unique, and increasing with each start of an instance.
 struct daemon_record {
   std::string Instance;
   std::string Region;
   std::string FailureDomain;
   /// `ip:port`.
   std::string Address;
-  /// Sites a gateway serves.
+  /// Sites that a gateway serves.
   std::vector<std::string> Sites;
-  /// Tells whose write an object is when the answer to it was lost.
+  /// Identifies the writer of an object when the response to the write was
+  /// lost.
   std::string OperationId;
 };
 
@@ -59,13 +61,13 @@
 result<target_settings> parseTarget(std::string_view Json);
 
 std::string formatPool(const pool_record &Record);
-/// The version is the object's, handed in.
+/// \p Version is the version of the object in the platform.
 result<pool_record> parsePool(std::string_view Json, std::int64_t Version);
 
-/// What an operator takes out of use.
+/// What an operator drains.
 enum class drain_subject : std::uint8_t { Target, Site, Instance };
 
-/// A planned drain; in force while its object exists.
+/// A planned drain; active while its object exists.
 struct drain_record {
   drain_subject Subject = drain_subject::Target;
   std::string Name;
@@ -74,7 +76,7 @@
 std::string formatDrain(const drain_record &Drain);
 result<drain_record> parseDrain(std::string_view Json);
 
-/// Id of a gateway node.
+/// Formats the id of a gateway node.
 std::string gatewayNodeId(std::string_view Instance, std::string_view Site,
                           std::int64_t Incarnation);
 
@@ -86,24 +88,24 @@
 };
 std::optional<gateway_node_name> splitNodeId(std::string_view Id);
 
-/// A daemon's view of all objects that concern it.
+/// A daemon's copy of all objects that concern it.
 struct object_view {
   std::map<std::string, item> Items;
 };
 
-/// Takes in items; older versions change nothing.
+/// Applies items; older versions are ignored.
 void updateView(object_view &View, std::span<const item> Items);
 
-/// The live items of one kind.
+/// Returns the items of one kind that are not deleted.
 std::vector<const item *> itemsOf(const object_view &View,
                                   std::string_view Kind);
 
-/// Whether it is proved that the process with this node id runs no more: its
+/// Whether the process with this node id is proved to be no longer running: its
 /// instance has registered a later incarnation, or its object was deleted. An
 /// item older than the id proves nothing.
 bool isProvedDead(const object_view &View, std::string_view NodeId);
 
-/// The sites, targets and instances that operators drain now.
+/// The targets, sites and instances that operators are draining now.
 struct drains_in_force {
   std::vector<std::string> Targets;
   std::vector<std::string> Sites;
