--- a/Libraries/History/history.cpp
+++ b/Libraries/History/history.cpp
@@ -30,10 +30,10 @@
 
 namespace {
 
-/// A rise or fall of something that is in use.
+/// A change of the amount in use.
 struct usage_step {
   instant At{};
-  std::int64_t By = 0;
+  std::int64_t Change = 0;
 };
 
 using usage = std::map<std::string, std::vector<usage_step>>;
@@ -46,18 +46,19 @@
   Usage[Name].push_back({End, -Amount});
 }
 
-/// Whether the sum ever passes \p Limit. What ends at an instant has ended
-/// before what starts at it.
+/// Adds a violation if the sum ever exceeds \p Limit. At the same instant, ends
+/// are counted before starts.
 static void checkUsage(std::vector<usage_step> Steps, std::int64_t Limit,
                        promise Promise, const std::string &Name,
                        violations &Found) {
   std::sort(Steps.begin(), Steps.end(),
             [](const usage_step &Left, const usage_step &Right) {
-              return std::tie(Left.At, Left.By) < std::tie(Right.At, Right.By);
+              return std::tie(Left.At, Left.Change) <
+                     std::tie(Right.At, Right.Change);
             });
   std::int64_t Sum = 0;
   for (const usage_step &Step : Steps) {
-    Sum += Step.By;
+    Sum += Step.Change;
     if (Sum <= Limit)
       continue;
     Found.push_back({Promise, Step.At,
@@ -81,7 +82,7 @@
   }
 }
 
-/// Name of the link that a site's requests from \p Region take.
+/// Name of the link that requests from \p Region to \p Site use.
 static std::string linkName(const std::string &Site,
                             const std::string &Region) {
   std::string Name = Site;
@@ -113,10 +114,11 @@
     if (Told.ContentOf != Told.Operation)
       Found.push_back(
           {promise::WholeAnswer, Told.At,
-           Told.Operation + " got the answer of " + Told.ContentOf});
+           Told.Operation + " received the response of " + Told.ContentOf});
     if (!Told.Whole)
-      Found.push_back({promise::WholeAnswer, Told.At,
-                       Told.Operation + " got a part as the whole"});
+      Found.push_back(
+          {promise::WholeAnswer, Told.At,
+           Told.Operation + " received a partial response as complete"});
   }
 }
 
@@ -128,8 +130,8 @@
   for (const told_answer &Told : History.Told) {
     auto Ran = ByKey.find(Told.Key);
     if (Told.Outcome == outcome::NotRun && Ran != ByKey.end())
-      Found.push_back(
-          {promise::NotRun, Told.At, Told.Key + " was told not run, and ran"});
+      Found.push_back({promise::NotRun, Told.At,
+                       Told.Key + " was reported as not run but was executed"});
   }
   for (const auto &[Key, Executions] : ByKey)
     if (Executions.size() > 1)
@@ -144,15 +146,16 @@
     for (const recorded_execution &Execution : History.Executions)
       if (Execution.Target == Departure.Target &&
           Execution.Start > Departure.At + Grace)
-        Found.push_back({promise::LeavingTarget, Execution.Start,
-                         Execution.Target + " got new work"});
+        Found.push_back(
+            {promise::LeavingTarget, Execution.Start,
+             Execution.Target + " received new work while draining"});
 }
 
 static void checkCuts(const history &History, violations &Found) {
   for (const recorded_execution &Execution : History.Executions)
     if (Execution.EndedAs == execution_end::CutOff)
       Found.push_back({promise::DrainCutsNothing, Execution.End,
-                       Execution.Operation + " was cut off"});
+                       Execution.Operation + " was cancelled by the system"});
 }
 
 static void checkReverts(const history &History, violations &Found) {
@@ -161,7 +164,7 @@
     std::int64_t &Seen = Highest[{Change.Node, Change.Key}];
     if (Change.Version < Seen)
       Found.push_back({promise::Contract, Change.At,
-                       Change.Node + " went back to version " +
+                       Change.Node + " reverted to version " +
                            std::to_string(Change.Version) + " of " +
                            Change.Key});
     Seen = std::max(Seen, Change.Version);
@@ -190,7 +193,7 @@
         Found.push_back({promise::Contract, Until,
                          Accepted.Key + " version " +
                              std::to_string(Accepted.Version) +
-                             " isn't in force at " + Node});
+                             " is not in effect at " + Node});
   }
 }
 
--- a/Libraries/History/history.h
+++ b/Libraries/History/history.h
@@ -1,6 +1,7 @@
-/// Decides the eight promises over a recorded history: what callers were told,
-/// what backend servers executed, what sites drew, which contracts were
-/// accepted and where they were in force. Pure; used by tests and tools.
+/// Checks the eight promises against a recorded history: the outcomes that
+/// callers received, the executions at backend servers, the power drawn by
+/// sites, and the contracts that were accepted and where they took effect. Pure
+/// function; used by tests and tools.
 #pragma once
 
 #include "Core/core.h"
@@ -25,31 +26,31 @@
 
 std::string_view toString(promise Promise);
 
-/// A caller's request and the last word on it.
+/// A caller's request and its final outcome.
 struct told_answer {
   instant At{};
   std::string Operation;
   /// Empty for idempotent work.
   std::string Key;
   outcome Outcome = outcome::Unknown;
-  /// Answered only: the operation that the body belongs to, as its content
-  /// says, and whether it was whole.
+  /// Answered only: the operation that the body belongs to according to its
+  /// content, and whether the body was complete.
   std::string ContentOf;
   bool Whole = true;
 };
 
-/// Why an execution ended.
+/// Reason for the end of an execution.
 enum class execution_end : std::uint8_t {
   Completed,
-  /// The caller went away or its deadline passed.
+  /// The caller disconnected or its deadline passed.
   CallerLeft,
   /// The backend server itself failed, or a process died.
   Fault,
-  /// The system broke it off.
+  /// The system cancelled it.
   CutOff,
 };
 
-/// One execution, as the backend server counted it.
+/// One execution, as recorded by the backend server.
 struct recorded_execution {
   instant Start{};
   instant End{};
@@ -57,33 +58,33 @@
   std::string Key;
   std::string Target;
   std::string Site;
-  /// Region of the entry that it came through.
+  /// Region of the entry that the request came through.
   std::string SourceRegion;
   std::int64_t Milliwatts = 0;
   execution_end EndedAs = execution_end::Completed;
 };
 
-/// Limits of a site, as an operator set them.
+/// Limits of a site, as set by an operator.
 struct site_limits {
   std::int64_t CapMilliwatts = 0;
   std::int64_t IdleMilliwatts = 0;
   std::map<std::string, std::int64_t> LinkLimits;
 };
 
-/// A target that began to leave.
+/// A target started to drain.
 struct target_departure {
   instant At{};
   std::string Target;
 };
 
-/// A configuration change that an operator was told is accepted.
+/// A configuration change whose acceptance was confirmed to an operator.
 struct accepted_change {
   instant At{};
   std::string Key;
   std::int64_t Version = 0;
 };
 
-/// A node began to act on a version.
+/// A version took effect at a node.
 struct effective_change {
   instant At{};
   std::string Node;
@@ -99,13 +100,13 @@
   std::vector<target_departure> Departures;
   std::vector<accepted_change> Accepted;
   std::vector<effective_change> Effective;
-  /// Nodes in which accepted changes have to be in force.
+  /// Nodes at which accepted changes have to take effect.
   std::vector<std::string> Nodes;
-  /// End of the record: nothing is expected later than this.
+  /// End of the recording; nothing is expected after this.
   instant End{};
 };
 
-/// The longest times that the promises allow.
+/// Maximum times that the promises allow.
 struct promise_times {
   duration LeavingGrace = std::chrono::seconds(3);
   duration ContractGrace = std::chrono::seconds(3);
@@ -117,7 +118,7 @@
   std::string What;
 };
 
-/// All violations, in the order of the promises.
+/// Returns all violations, in the order of the promises.
 std::vector<violation> checkHistory(const history &History,
                                     const promise_times &Times = {});
 
--- a/Tests/history_test.cpp
+++ b/Tests/history_test.cpp
@@ -1,4 +1,4 @@
-// The checker itself: one planted violation of each kind, and a clean history.
+// The history checker: one planted violation of each kind, and a valid history.
 
 #include "History/history.h"
 
@@ -17,7 +17,7 @@
           "target",  "site",  "region",  10'000};
 }
 
-/// Within every limit.
+/// A history within every limit.
 history cleanHistory() {
   history History;
   History.Sites["site"] = {50'000, 30'000, {{"region", 2}}};
@@ -32,7 +32,7 @@
   return History;
 }
 
-bool shows(const history &History, promise Promise) {
+bool hasViolation(const history &History, promise Promise) {
   for (const violation &Violation : checkHistory(History))
     if (Violation.Promise == Promise)
       return true;
@@ -45,79 +45,79 @@
 TEST_GROUP(History) {};
 // clang-format on
 
-TEST(History, CleanHasNoViolation) {
+TEST(History, ValidHistoryHasNoViolation) {
   CHECK(checkHistory(cleanHistory()).empty());
 }
 
-TEST(History, SeesTooMuchPower) {
+TEST(History, DetectsExceededPowerCap) {
   history History = cleanHistory();
   History.Executions.push_back(runOf(1, 2, "c", ""));
-  CHECK(shows(History, promise::Power));
+  CHECK(hasViolation(History, promise::Power));
 }
 
-TEST(History, SeesAnEndBeforeAStartAtTheSameInstant) {
+TEST(History, CountsEndsBeforeStartsAtSameInstant) {
   history History = cleanHistory();
   History.Executions.push_back(runOf(2, 3, "c", ""));
   CHECK(checkHistory(History).empty());
 }
 
-TEST(History, SeesTooManySlots) {
+TEST(History, DetectsExceededSlots) {
   history History = cleanHistory();
   History.TargetSlots["target"] = 1;
-  CHECK(shows(History, promise::Region));
+  CHECK(hasViolation(History, promise::Region));
 }
 
-TEST(History, SeesTooMuchOnALink) {
+TEST(History, DetectsExceededLinkLimit) {
   history History = cleanHistory();
   History.Sites["site"].LinkLimits["region"] = 1;
-  CHECK(shows(History, promise::Region));
+  CHECK(hasViolation(History, promise::Region));
 }
 
-TEST(History, SeesSomebodyElsesAnswer) {
+TEST(History, DetectsResponseOfAnotherOperation) {
   history History = cleanHistory();
   History.Told[0].ContentOf = "b";
-  CHECK(shows(History, promise::WholeAnswer));
+  CHECK(hasViolation(History, promise::WholeAnswer));
 }
 
-TEST(History, SeesAPartPassedAsTheWhole) {
+TEST(History, DetectsPartialResponseReportedAsComplete) {
   history History = cleanHistory();
   History.Told[0].Whole = false;
-  CHECK(shows(History, promise::WholeAnswer));
+  CHECK(hasViolation(History, promise::WholeAnswer));
 }
 
-TEST(History, SeesARunAgainstNotRun) {
+TEST(History, DetectsExecutionReportedAsNotRun) {
   history History = cleanHistory();
   History.Told[0].Outcome = outcome::NotRun;
-  CHECK(shows(History, promise::NotRun));
+  CHECK(hasViolation(History, promise::NotRun));
 }
 
-TEST(History, SeesADoubleRun) {
+TEST(History, DetectsSecondExecution) {
   history History = cleanHistory();
   History.Executions.push_back(runOf(5, 6, "a", "key-a"));
-  CHECK(shows(History, promise::AtMostOnce));
+  CHECK(hasViolation(History, promise::AtMostOnce));
 }
 
-TEST(History, SeesWorkAtATargetThatLeft) {
+TEST(History, DetectsNewWorkAtDrainedTarget) {
   history History = cleanHistory();
   History.Departures = {{at(1), "target"}};
   History.Executions.push_back(runOf(5, 6, "c", ""));
-  CHECK(shows(History, promise::LeavingTarget));
+  CHECK(hasViolation(History, promise::LeavingTarget));
 }
 
-TEST(History, SeesWorkCutOff) {
+TEST(History, DetectsCancelledExecution) {
   history History = cleanHistory();
   History.Executions[1].EndedAs = execution_end::CutOff;
-  CHECK(shows(History, promise::DrainCutsNothing));
+  CHECK(hasViolation(History, promise::DrainCutsNothing));
 }
 
-TEST(History, SeesAContractThatReverts) {
+TEST(History, DetectsRevertedContract) {
   history History = cleanHistory();
   History.Effective.push_back({at(3), "node", "contract/c", 6});
-  CHECK(shows(History, promise::Contract));
+  CHECK(hasViolation(History, promise::Contract));
 }
 
-TEST(History, SeesAContractNotInForceInTime) {
+TEST(History, DetectsContractNotInEffectInTime) {
   history History = cleanHistory();
   History.Nodes.push_back("late node");
-  CHECK(shows(History, promise::Contract));
+  CHECK(hasViolation(History, promise::Contract));
 }
