--- a/Tests/golden_test.cpp
+++ b/Tests/golden_test.cpp
@@ -1,6 +1,6 @@
-// Golden files of whole sessions: everything callers were told and backend
-// servers executed in a seeded run of each deployment, line by line. A wanted
-// change is taken over by Utilities/regenerate-golden.sh.
+// Golden tests of complete sessions: every outcome that callers received and
+// every execution at backend servers, in a seeded run of each deployment, line
+// by line. Utilities/regenerate-golden.sh accepts an intended change.
 
 #include "Scheduler/world.h"
 
@@ -15,12 +15,13 @@
 
 namespace {
 
-/// One line of a session, sorted by time, then text.
+/// One line of a session; lines are sorted by time, then by text.
 using session_line = std::pair<std::int64_t, std::string>;
 
 std::int64_t microseconds(instant At) { return At.time_since_epoch().count(); }
 
-/// Keys hold the owner's incarnation; the caller's part is enough to read.
+/// Returns the caller's part of a key, which is enough to identify it; the rest
+/// holds the incarnation of the owner.
 std::string shortKey(const std::string &Key) {
   return Key.empty() ? "-" : Key.substr(Key.find('.') + 1);
 }
@@ -64,7 +65,7 @@
 TEST_GROUP(Golden) {};
 // clang-format on
 
-TEST(Golden, MandapGharSessionWithAGatewayKilled) {
+TEST(Golden, MandapGharSessionWithKilledGateway) {
   world_options Options;
   Options.Seed = 11;
   Options.Service = "enquiry-desk";
@@ -76,7 +77,7 @@
   compareWithGolden("mandap-ghar.txt", Options);
 }
 
-TEST(Golden, JegyzetfuzetSessionWithASiteDrained) {
+TEST(Golden, JegyzetfuzetSessionWithDrainedSite) {
   world_options Options;
   Options.Seed = 12;
   Options.Service = "kernel-hub";
--- a/Tests/parts_test.cpp
+++ b/Tests/parts_test.cpp
@@ -1,5 +1,5 @@
-// The smaller parts: settings, client blocks, queues, routing, membership,
-// contracts, objects.
+// Tests of the smaller libraries: settings, client blocks, queues, routing,
+// membership, contracts and objects.
 
 #include "Admission/admission.h"
 #include "ClientMap/client_map.h"
@@ -22,7 +22,7 @@
 TEST_GROUP(Parts) {};
 // clang-format on
 
-static const char *GoodSettings = R"(instance: bagmati-1
+static const char *ValidSettings = R"(instance: bagmati-1
 region: bagmati
 failure_domain: bagmati-a
 link_ms: {bagmati: 1, gandaki: 35}
@@ -36,14 +36,14 @@
   platform: http://127.0.0.1:9000
 )";
 
-TEST(Parts, GoodSettingsHaveNoFaults) {
-  const settings_check Check = checkSettings(GoodSettings);
+TEST(Parts, ValidSettingsHaveNoFaults) {
+  const settings_check Check = checkSettings(ValidSettings);
   LONGS_EQUAL(0, Check.Faults.size());
   LONGS_EQUAL(2, Check.Settings.Gateway.Sites.size());
   DOUBLES_EQUAL(35, Check.Settings.LinkMs.at("gandaki"), 0.001);
 }
 
-TEST(Parts, AllFaultsOfASettingsFileAreFoundAtOnce) {
+TEST(Parts, AllFaultsOfSettingsFileAreReported) {
   const settings_check Check = checkSettings(R"(instance: "bad name"
 region: bagmati
 failure_domain: bagmati-a
@@ -69,16 +69,16 @@
   LONGS_EQUAL(12, Lines["control.platform"]);
 }
 
-TEST(Parts, BrokenYamlIsAFaultWithALine) {
+TEST(Parts, MalformedYamlIsReportedWithLine) {
   const settings_check Check = checkSettings("a: [1,\nb: 2\n");
   LONGS_EQUAL(1, Check.Faults.size());
   CHECK(Check.Faults[0].Line > 0);
 }
 
-TEST(Parts, ClientBlocksAgreeWithANaiveMap) {
+TEST(Parts, ClientMapMatchesReferenceMap) {
   std::mt19937_64 Random(7);
   client_map Map;
-  std::map<std::uint32_t, std::uint16_t> Naive;
+  std::map<std::uint32_t, std::uint16_t> Reference;
   const std::uint32_t Chunk = 0x123;
   std::map<std::uint32_t, std::uint16_t> Blocks;
   for (int Count = 0; Count < 500; ++Count)
@@ -89,17 +89,17 @@
   for (const auto &[First, Group] : Blocks)
     List.push_back({First, Group});
   CHECK(applyChunk(Map, Chunk, 5, List).value());
-  Naive = Blocks;
+  Reference = Blocks;
   CHECK(!applyChunk(Map, Chunk, 4, {}).value());
   CHECK(!applyBlockChange(Map, {List[9].First, 1}, 3, 6).has_value());
   CHECK(applyBlockChange(Map, {List[9].First, 1}, 5, 6).value());
-  Naive[List[9].First] = 1;
+  Reference[List[9].First] = 1;
   for (int Count = 0; Count < 20'000; ++Count) {
     const std::uint32_t Address =
         (Chunk << 20) + static_cast<std::uint32_t>(Random() % (1U << 20));
-    auto After = Naive.upper_bound(Address);
+    auto After = Reference.upper_bound(Address);
     const std::uint16_t Expected =
-        After == Naive.begin() ? NoGroup : std::prev(After)->second;
+        After == Reference.begin() ? NoGroup : std::prev(After)->second;
     LONGS_EQUAL(Expected, lookUp(Map, Address));
   }
   LONGS_EQUAL(NoGroup, lookUp(Map, 0));
@@ -110,7 +110,7 @@
   return {Token, Customer, Priority, Weight, Now + seconds(10)};
 }
 
-TEST(Parts, AHotCustomerDoesNotStarveOthers) {
+TEST(Parts, BusyCustomerDoesNotStarveOthers) {
   fair_queue Queue;
   for (std::uint64_t Token = 0; Token < 50; ++Token)
     enqueue(Queue, makeQueued(Token, "hot"), {}, {}, Now);
@@ -119,7 +119,7 @@
   LONGS_EQUAL(100, dequeue(Queue)->Token);
 }
 
-TEST(Parts, WeightsShareTheTurns) {
+TEST(Parts, TurnsAreDistributedByWeight) {
   fair_queue Queue;
   for (std::uint64_t Token = 0; Token < 40; ++Token) {
     enqueue(Queue, makeQueued(Token, "three", 0, 3), {}, {}, Now);
@@ -131,13 +131,13 @@
   LONGS_EQUAL(30, Three);
 }
 
-TEST(Parts, WhatWouldWaitTooLongIsRefusedAtArrival) {
+TEST(Parts, RequestWithLongPredictedWaitIsRefusedOnArrival) {
   fair_queue Queue;
   CHECK(!enqueue(Queue, makeQueued(1, "c"), {}, seconds(3), Now).Accepted);
   CHECK(enqueue(Queue, makeQueued(1, "c"), {}, seconds(2), Now).Accepted);
 }
 
-TEST(Parts, AFullQueueGivesUpItsLowestPriority) {
+TEST(Parts, FullQueueDisplacesLowestPriority) {
   fair_queue Queue;
   queue_limits Limits;
   Limits.MaxTotal = 2;
@@ -150,7 +150,7 @@
   LONGS_EQUAL(1, High.Displaced->Token);
 }
 
-TEST(Parts, RetriesAreAFractionOfFirstTries) {
+TEST(Parts, RetriesAreLimitedToFractionOfFirstAttempts) {
   retry_budget Budget;
   int Spent = 0;
   for (int Try = 0; Try < 1'000; ++Try) {
@@ -160,21 +160,21 @@
   LONGS_EQUAL(109, Spent);
 }
 
-TEST(Parts, AnOldOfferCountsForATrickleOnly) {
+TEST(Parts, StaleOfferIsRarelyChosen) {
   std::mt19937_64 Random(3);
-  offer Old{"far", "r", "gw-old", "d1", 1'000, {}, {}, Now - seconds(60)};
+  offer Stale{"far", "r", "gw-old", "d1", 1'000, {}, {}, Now - seconds(60)};
   offer Fresh{"near", "r", "gw-new", "d2", 5, {}, {}, Now};
-  int OldFirst = 0;
+  int StaleFirst = 0;
   for (int Draw = 0; Draw < 1'000; ++Draw) {
-    const std::vector<const offer *> Offers = {&Old, &Fresh};
+    const std::vector<const offer *> Offers = {&Stale, &Fresh};
     if (rankOffers(Offers, "c", "near", {}, Now, Random)[0]->Gateway ==
         "gw-old")
-      ++OldFirst;
+      ++StaleFirst;
   }
-  CHECK(OldFirst < 20);
+  CHECK(StaleFirst < 20);
 }
 
-TEST(Parts, AQuarantinedTargetGetsOneTrial) {
+TEST(Parts, QuarantinedTargetGetsOneTrialRequest) {
   target_state Target;
   Target.Slots = 4;
   const target_policy Policy;
@@ -186,7 +186,7 @@
   CHECK(!takesWork(Target, Policy, Now + Policy.Quarantine));
 }
 
-TEST(Parts, AColdTargetTakesLess) {
+TEST(Parts, ColdTargetAcceptsFewerRequests) {
   target_state Target;
   Target.Slots = 8;
   Target.Since = Now;
@@ -195,9 +195,9 @@
   CHECK(takesWork(Target, {}, Now + seconds(3)));
 }
 
-// Symptom: a daemon that answers is thought dead for good. Sequence: one probe
-// is lost, the suspicion spreads, then the member answers.
-TEST(Parts, AMemberThatAnswersIsUpAgain) {
+// Regression: a daemon that responds was considered dead forever after one
+// probe was lost, the suspicion spread, and the member then responded.
+TEST(Parts, RespondingMemberIsUpAgain) {
   membership Membership;
   setOwnMembers(Membership, {"control/a"});
   setMembers(Membership, {"control/a", "control/b"});
@@ -213,7 +213,7 @@
   LONGS_EQUAL(0, downMembers(Membership).size());
 }
 
-TEST(Parts, AContractsFaultsAreAllNamed) {
+TEST(Parts, AllFaultsOfContractAreReported) {
   const auto Contract =
       parseContract(R"({"customer":"","weight":0,"priority":"x","speed":1})");
   CHECK(!Contract.has_value());
@@ -221,7 +221,7 @@
     CHECK(Contract.error().Message.find(Field) != std::string::npos);
 }
 
-TEST(Parts, TheSharesOfEntriesStayWithinTheContract) {
+TEST(Parts, SharesOfEntriesStayWithinContract) {
   contract Contract;
   Contract.RequestsPerSecond = 50;
   Contract.Concurrency = 1'000;
@@ -233,14 +233,14 @@
           limit_verdict::Allowed)
         ++Allowed;
   }
-  // A second's rate and the burst of a second.
+  // The rate of one second plus the burst of one second.
   CHECK(Allowed <= 100);
   CHECK(Allowed >= 90);
 }
 
-// Symptom: a live holder's units are handed to others. Sequence: an observer's
-// copy of the instance's object is older than the incarnation in the row.
-TEST(Parts, AnOldObjectProvesNothingAboutANewIncarnation) {
+// Regression: units of a live holder were given to others when an observer's
+// copy of the instance's object was older than the incarnation in the row.
+TEST(Parts, OlderObjectDoesNotProveDeathOfNewerIncarnation) {
   object_view View;
   const std::vector<item> Items = {{"gateway/gw-1", 10, false, "{}"}};
   updateView(View, Items);
--- a/Tests/promises_test.cpp
+++ b/Tests/promises_test.cpp
@@ -1,5 +1,6 @@
-// The promises under each fault, over seeds: the real decision logic of entries
-// and gateways on a seeded scheduler, its history decided by the checker.
+// Checks the promises under each fault, over seeds: runs the real decision
+// logic of entries and gateways on a seeded scheduler and checks the recorded
+// history.
 
 #include "Scheduler/world.h"
 
@@ -10,7 +11,7 @@
 using namespace amaranthhoist;
 using namespace amaranthhoist::testing;
 
-/// Seeds per fault; a longer run sets the variable.
+/// Seeds per fault; AMARANTHHOIST_SEEDS sets the number for a longer run.
 static int seedCount() {
   const char *Text = std::getenv("AMARANTHHOIST_SEEDS");
   return Text ? std::atoi(Text) : 40;
@@ -34,7 +35,8 @@
   }
 }
 
-/// Whether any seed shows a violation of \p Promise once \p Sabotage is on.
+/// Returns whether any seed shows a violation of \p Promise with \p Sabotage
+/// enabled.
 static bool isCaught(sabotage Sabotage, const std::vector<fault> &Faults,
                      promise Promise) {
   for (int Seed = 1; Seed <= 60; ++Seed) {
@@ -54,110 +56,112 @@
 // clang-format on
 
 TEST(Promises, HoldWithoutFaults) { expectPromisesHold({}); }
-TEST(Promises, HoldWhenAGatewayDies) {
+TEST(Promises, HoldWhenGatewayDies) {
   expectPromisesHold({fault::KillGateway});
 }
 TEST(Promises, HoldWhenTwoGatewaysDie) {
   expectPromisesHold({fault::KillTwoGateways});
 }
-TEST(Promises, HoldWhenAGatewayFreezes) {
+TEST(Promises, HoldWhenGatewayFreezes) {
   expectPromisesHold({fault::FreezeGateway});
 }
-TEST(Promises, HoldWhenAGatewayIsCutOff) {
+TEST(Promises, HoldWhenGatewayIsPartitioned) {
   expectPromisesHold({fault::CutGateway});
 }
-TEST(Promises, HoldWhenAGatewayIsNotHeard) {
+TEST(Promises, HoldWhenMessagesFromGatewayAreLost) {
   expectPromisesHold({fault::CutOneWay});
 }
-TEST(Promises, HoldWhenEntriesLoseAGateway) {
+TEST(Promises, HoldWhenEntriesCannotReachGateway) {
   expectPromisesHold({fault::CutEntries});
 }
-TEST(Promises, HoldWhenThePlatformIsAway) {
+TEST(Promises, HoldDuringPlatformOutage) {
   expectPromisesHold({fault::PlatformOutage});
 }
-TEST(Promises, HoldWhenWritesLoseTheirAnswers) {
+TEST(Promises, HoldWhenResponsesToWritesAreLost) {
   expectPromisesHold({fault::LostWrites});
 }
-TEST(Promises, HoldWhenAnswersAreLost) {
+TEST(Promises, HoldWhenResponsesAreLost) {
   expectPromisesHold({fault::LostAnswers});
 }
 TEST(Promises, HoldWhenBackendServersShed) {
   expectPromisesHold({fault::Shedding});
 }
-TEST(Promises, HoldInASurge) { expectPromisesHold({fault::Surge}); }
-TEST(Promises, HoldWhileASiteDrains) { expectPromisesHold({fault::DrainSite}); }
-TEST(Promises, HoldWhenATargetLeaves) {
+TEST(Promises, HoldDuringSurge) { expectPromisesHold({fault::Surge}); }
+TEST(Promises, HoldWhileSiteDrains) { expectPromisesHold({fault::DrainSite}); }
+TEST(Promises, HoldWhenTargetDrains) {
   expectPromisesHold({fault::TargetLeaves});
 }
 
 // Pairs of faults.
 
-TEST(Promises, HoldWhenOneDiesAndAnotherIsCutOff) {
+TEST(Promises, HoldWhenOneGatewayDiesAndAnotherIsPartitioned) {
   expectPromisesHold({fault::KillGateway, fault::CutGateway});
 }
-TEST(Promises, HoldWhenOneDiesAndThePlatformIsAway) {
+TEST(Promises, HoldWhenGatewayDiesDuringPlatformOutage) {
   expectPromisesHold({fault::KillGateway, fault::PlatformOutage});
 }
-TEST(Promises, HoldWhenOneDiesInASurge) {
+TEST(Promises, HoldWhenGatewayDiesDuringSurge) {
   expectPromisesHold({fault::KillGateway, fault::Surge});
 }
-TEST(Promises, HoldWhenOneFreezesAndAnswersAreLost) {
+TEST(Promises, HoldWhenGatewayFreezesAndResponsesAreLost) {
   expectPromisesHold({fault::FreezeGateway, fault::LostAnswers});
 }
-TEST(Promises, HoldWhenOneFreezesInASurge) {
+TEST(Promises, HoldWhenGatewayFreezesDuringSurge) {
   expectPromisesHold({fault::FreezeGateway, fault::Surge});
 }
-TEST(Promises, HoldWhenOneFreezesAndEntriesLoseIt) {
+TEST(Promises, HoldWhenGatewayFreezesAndEntriesCannotReachOne) {
   expectPromisesHold({fault::FreezeGateway, fault::CutEntries});
 }
-TEST(Promises, HoldWhenTwoDieAndWritesLoseTheirAnswers) {
+TEST(Promises, HoldWhenTwoGatewaysDieAndResponsesToWritesAreLost) {
   expectPromisesHold({fault::KillTwoGateways, fault::LostWrites});
 }
-TEST(Promises, HoldWhenOneIsCutOffInASurge) {
+TEST(Promises, HoldWhenGatewayIsPartitionedDuringSurge) {
   expectPromisesHold({fault::CutGateway, fault::Surge});
 }
-TEST(Promises, HoldWhenASiteDrainsAndAGatewayDies) {
+TEST(Promises, HoldWhenSiteDrainsAndGatewayDies) {
   expectPromisesHold({fault::DrainSite, fault::KillGateway});
 }
-TEST(Promises, HoldWhenASiteDrainsAndThePlatformIsAway) {
+TEST(Promises, HoldWhenSiteDrainsDuringPlatformOutage) {
   expectPromisesHold({fault::DrainSite, fault::PlatformOutage});
 }
-TEST(Promises, HoldWhenATargetLeavesAndAGatewayFreezes) {
+TEST(Promises, HoldWhenTargetDrainsAndGatewayFreezes) {
   expectPromisesHold({fault::TargetLeaves, fault::FreezeGateway});
 }
-TEST(Promises, HoldWhenEntriesLoseItAndItIsNotHeard) {
+TEST(Promises, HoldWhenEntriesCannotReachGatewayAndItsMessagesAreLost) {
   expectPromisesHold({fault::CutEntries, fault::CutOneWay});
 }
 
-// Each mechanism switched off: the checker has to see what it prevents.
+// Each mechanism disabled: the checker has to detect the violation that the
+// mechanism prevents.
 
-TEST(Promises, WithoutAWitnessTheCheckerSeesARunAgainstItsWord) {
+TEST(Promises, CheckerDetectsExecutionAfterNotRunWithoutWitness) {
   CHECK(isCaught(sabotage::NoWitness, {fault::FreezeGateway}, promise::NotRun));
 }
-TEST(Promises, WithoutLingeringTheCheckerSeesTooMuchInUse) {
+TEST(Promises, CheckerDetectsExceededLimitWhenUnconfirmedWorkIsReleased) {
   CHECK(isCaught(sabotage::NoLingering, {fault::LostAnswers, fault::Surge},
                  promise::Region));
 }
-TEST(Promises, WithUnconditionalWritesTheCheckerSeesTooMuchPower) {
+TEST(Promises, CheckerDetectsExceededPowerWithUnconditionalWrites) {
   CHECK(isCaught(sabotage::UnconditionalWrites,
                  {fault::KillTwoGateways, fault::Surge}, promise::Power));
 }
-TEST(Promises, WithLoansTakenTwiceTheCheckerSeesTooMuchInUse) {
+TEST(Promises, CheckerDetectsExceededLimitWhenLoansAreAcceptedTwice) {
   CHECK(isCaught(sabotage::LoansTakenTwice, {fault::Surge}, promise::Region));
 }
-TEST(Promises, WithForgottenKeysTheCheckerSeesADoubleRun) {
+TEST(Promises, CheckerDetectsSecondExecutionWhenKeysAreRemoved) {
   CHECK(isCaught(sabotage::ForgottenKeys, {fault::CutEntries},
                  promise::AtMostOnce));
 }
-TEST(Promises, WithDeadReclaimedAtOnceTheCheckerSeesTooMuchPower) {
+TEST(Promises,
+     CheckerDetectsExceededLimitWhenDeadHoldersAreReclaimedImmediately) {
   CHECK(isCaught(sabotage::ReclaimAtOnce, {fault::KillGateway, fault::Surge},
                  promise::Region));
 }
-TEST(Promises, WithLeavingIgnoredTheCheckerSeesNewWork) {
+TEST(Promises, CheckerDetectsNewWorkWhenDrainingIsIgnored) {
   CHECK(isCaught(sabotage::LeavingIgnored, {fault::TargetLeaves},
                  promise::LeavingTarget));
 }
-TEST(Promises, WithADrainThatCancelsTheCheckerSeesWorkCutOff) {
+TEST(Promises, CheckerDetectsCancelledWorkWhenDrainCancels) {
   CHECK(isCaught(sabotage::DrainCancels, {fault::DrainSite},
                  promise::DrainCutsNothing));
 }
