--- a/Libraries/EventLoop/event_loop.cpp
+++ b/Libraries/EventLoop/event_loop.cpp
@@ -8,8 +8,8 @@
 
 namespace amaranthhoist {
 
-/// Events taken from the kernel at a time: enough that a busy round costs one
-/// call, few enough that timers aren't starved.
+/// Maximum number of events per epoll_wait call: large enough that a busy
+/// iteration needs one call, small enough that timers are not starved.
 static constexpr int MaxEvents = 128;
 
 static instant readMonotonicClock() {
@@ -20,14 +20,14 @@
       std::chrono::nanoseconds(Time.tv_nsec)));
 }
 
-event_loop::event_loop() : Epoll(epoll_create1(EPOLL_CLOEXEC)) {
-  // Without epoll nothing can be served.
-  if (Epoll < 0)
+event_loop::event_loop() : EpollDescriptor(epoll_create1(EPOLL_CLOEXEC)) {
+  // The process cannot serve anything without epoll.
+  if (EpollDescriptor < 0)
     std::abort();
   refreshNow();
 }
 
-event_loop::~event_loop() { close(Epoll); }
+event_loop::~event_loop() { close(EpollDescriptor); }
 
 void event_loop::refreshNow() { Now = readMonotonicClock(); }
 
@@ -42,19 +42,19 @@
   Event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
   Event.data.u64 = (static_cast<std::uint64_t>(Registration.Generation) << 32) |
                    static_cast<std::uint32_t>(Descriptor);
-  return epoll_ctl(Epoll, EPOLL_CTL_ADD, Descriptor, &Event) == 0;
+  return epoll_ctl(EpollDescriptor, EPOLL_CTL_ADD, Descriptor, &Event) == 0;
 }
 
 void event_loop::unwatch(int Descriptor) {
-  // Closing the descriptor takes it out of epoll; a call less.
+  // Closing the descriptor removes it from epoll, which saves a system call.
   Registrations[static_cast<std::size_t>(Descriptor)].Handler = nullptr;
 }
 
 timer_id event_loop::after(duration Delay, std::function<void()> Function) {
-  const timer_id Timer = ++LastTimer;
+  const timer_id Timer = ++LastTimerId;
   const instant Time = Now + Delay;
   Timers.emplace(timer_key(Time, Timer), std::move(Function));
-  TimerTimes.emplace_hint(TimerTimes.end(), Timer, Time);
+  TimerDeadlines.emplace_hint(TimerDeadlines.end(), Timer, Time);
   return Timer;
 }
 
@@ -66,32 +66,32 @@
 }
 
 void event_loop::cancel(timer_id &Timer) {
-  auto Time = TimerTimes.find(Timer);
-  if (Time != TimerTimes.end()) {
+  auto Time = TimerDeadlines.find(Timer);
+  if (Time != TimerDeadlines.end()) {
     Timers.erase(timer_key(Time->second, Timer));
-    TimerTimes.erase(Time);
+    TimerDeadlines.erase(Time);
   }
   Timer = 0;
 }
 
 void event_loop::atEndOfRound(std::function<void()> Function) {
-  EndOfRound.push_back(std::move(Function));
+  IterationCallbacks.push_back(std::move(Function));
 }
 
-int event_loop::waitMs() const {
+int event_loop::epollTimeoutMs() const {
   if (Timers.empty())
     return -1;
-  const duration Left = Timers.begin()->first.first - Now;
-  if (Left <= duration::zero())
+  const duration Remaining = Timers.begin()->first.first - Now;
+  if (Remaining <= duration::zero())
     return 0;
-  // Rounded up, so that a timer is never found too early and asked again.
-  return static_cast<int>((Left.count() + 999) / 1'000);
+  // Rounded up, so that epoll_wait never returns before the timer is due.
+  return static_cast<int>((Remaining.count() + 999) / 1'000);
 }
 
 void event_loop::runTimers() {
   while (!Timers.empty() && Timers.begin()->first.first <= Now) {
     auto Node = Timers.extract(Timers.begin());
-    TimerTimes.erase(Node.key().second);
+    TimerDeadlines.erase(Node.key().second);
     Node.mapped()();
   }
 }
@@ -99,7 +99,8 @@
 void event_loop::run() {
   std::array<epoll_event, MaxEvents> Events{};
   while (!Stopping) {
-    const int Count = epoll_wait(Epoll, Events.data(), MaxEvents, waitMs());
+    const int Count =
+        epoll_wait(EpollDescriptor, Events.data(), MaxEvents, epollTimeoutMs());
     refreshNow();
     for (int Index = 0; Index < Count; ++Index) {
       const epoll_event &Event = Events[static_cast<std::size_t>(Index)];
@@ -113,10 +114,10 @@
            (Event.events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0});
     }
     runTimers();
-    for (const auto &Function : EndOfRound)
+    for (const auto &Function : IterationCallbacks)
       Function();
   }
-  // A run may be nested in another one, which goes on.
+  // A nested run() must not stop the outer one.
   Stopping = false;
 }
 
--- a/Libraries/EventLoop/event_loop.h
+++ b/Libraries/EventLoop/event_loop.h
@@ -1,6 +1,6 @@
-/// One thread's event loop over epoll, with the timer service that all parts
-/// subscribe to. Plumbing: the only place of the node program that reads the
-/// monotonic clock. All calls come on the loop's thread.
+/// Single-threaded event loop over epoll, with the timers used by all
+/// components. It is the only part of the node program that reads the
+/// monotonic clock. All member functions must be called on the loop's thread.
 #pragma once
 
 #include "Core/core.h"
@@ -13,24 +13,24 @@
 
 namespace amaranthhoist {
 
-/// What became of a file descriptor.
+/// Readiness of a file descriptor.
 struct io_event {
   bool Readable = false;
   bool Writable = false;
-  /// The peer closed, or the connection failed.
-  bool HungUp = false;
+  /// The peer closed the connection, or the connection failed.
+  bool Disconnected = false;
 };
 
-/// Gets the events of one file descriptor. Events are edge-triggered: a
-/// handler reads or writes until the kernel has no more, or remembers to come
-/// back.
+/// Receives the events of one file descriptor. Events are edge-triggered: a
+/// handler must read or write until the call would block, or record that it has
+/// to resume later.
 class io_handler {
 public:
   virtual ~io_handler() = default;
   virtual void onEvent(const io_event &Event) = 0;
 };
 
-/// Names a subscription of the timer service; 0 is none.
+/// Identifies a timer; 0 means no timer.
 using timer_id = std::uint64_t;
 
 class event_loop {
@@ -40,25 +40,27 @@
   event_loop(const event_loop &) = delete;
   event_loop &operator=(const event_loop &) = delete;
 
-  /// The time of the current round of events, on the monotonic clock.
+  /// The monotonic time at which the current iteration of the loop started.
   [[nodiscard]] instant now() const { return Now; }
 
-  /// Registers \p Descriptor until unwatch(). False when the kernel refuses.
+  /// Registers \p Descriptor until unwatch(). Returns false if the kernel
+  /// rejects the registration.
   [[nodiscard]] bool watch(int Descriptor, io_handler &Handler);
-  /// Events of \p Descriptor that wait in this round are dropped too.
+  /// Unregisters \p Descriptor. Also drops its events that are still queued in
+  /// the current iteration.
   void unwatch(int Descriptor);
 
-  /// Calls \p Function once, \p Delay from now.
+  /// Schedules a single call of \p Function after \p Delay.
   timer_id after(duration Delay, std::function<void()> Function);
-  /// Calls \p Function every \p Period from now on.
+  /// Schedules repeated calls of \p Function, the first after one \p Period.
   void every(duration Period, std::function<void()> Function);
-  /// Forgets a timer, run or not, and sets \p Timer to none.
+  /// Cancels a timer, which may have fired already, and sets \p Timer to 0.
   void cancel(timer_id &Timer);
 
-  /// Calls \p Function at the end of each round of events.
+  /// Registers \p Function to be called at the end of each loop iteration.
   void atEndOfRound(std::function<void()> Function);
 
-  /// Serves until stop().
+  /// Processes events until stop() is called.
   void run();
   void stop() { Stopping = true; }
 
@@ -69,19 +71,19 @@
   };
   using timer_key = std::pair<instant, timer_id>;
 
-  int waitMs() const;
+  int epollTimeoutMs() const;
   void runTimers();
   void refreshNow();
 
-  int Epoll = -1;
+  int EpollDescriptor = -1;
   bool Stopping = false;
   instant Now{};
-  /// By file descriptor.
+  /// Indexed by file descriptor.
   std::vector<registration> Registrations;
   std::map<timer_key, std::function<void()>> Timers;
-  std::map<timer_id, instant> TimerTimes;
-  timer_id LastTimer = 0;
-  std::vector<std::function<void()>> EndOfRound;
+  std::map<timer_id, instant> TimerDeadlines;
+  timer_id LastTimerId = 0;
+  std::vector<std::function<void()>> IterationCallbacks;
 };
 
 } // namespace amaranthhoist
--- a/Libraries/EventLoop/socket.cpp
+++ b/Libraries/EventLoop/socket.cpp
@@ -12,9 +12,9 @@
 
 namespace amaranthhoist {
 
-/// New connections that may wait for this process: a second of the heaviest
-/// arrivals. When the queue is full the opening packet is dropped, and the
-/// caller tries again only after a second.
+/// Limit on connections that wait to be accepted: one second of connections at
+/// peak load. When the queue is full, the kernel drops the SYN packet and the
+/// client retransmits it only after a second.
 static constexpr int ListenBacklog = 1'024;
 
 static sockaddr_in toSockaddr(const endpoint &Endpoint) {
@@ -36,12 +36,12 @@
 result<endpoint> parseEndpoint(std::string_view Text) {
   const std::size_t Colon = Text.rfind(':');
   if (Colon == std::string_view::npos)
-    return fail(error_code::Invalid, cat("no port in ", Text));
+    return fail(error_code::Invalid, cat("missing port in ", Text));
   in_addr Ip{};
   const std::string IpText(Text.substr(0, Colon));
   const auto Port = parseNumber<std::uint16_t>(Text.substr(Colon + 1));
   if (inet_pton(AF_INET, IpText.c_str(), &Ip) != 1 || !Port)
-    return fail(error_code::Invalid, cat("no ip:port: ", Text));
+    return fail(error_code::Invalid, cat("not an ip:port address: ", Text));
   return endpoint{ntohl(Ip.s_addr), *Port};
 }
 
@@ -79,17 +79,17 @@
   return Descriptor;
 }
 
-result<int> connectTo(const endpoint &Endpoint, duration Silence) {
+result<int> connectTo(const endpoint &Endpoint, duration Timeout) {
   const int Descriptor =
       socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (Descriptor < 0)
     return systemError("socket", errno);
-  const int SilenceMs = static_cast<int>(Silence.count() / 1'000);
+  const int TimeoutMs = static_cast<int>(Timeout.count() / 1'000);
   setOption(Descriptor, IPPROTO_TCP, TCP_NODELAY, 1);
-  setOption(Descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, SilenceMs);
+  setOption(Descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, TimeoutMs);
   setOption(Descriptor, SOL_SOCKET, SO_KEEPALIVE, 1);
   setOption(Descriptor, IPPROTO_TCP, TCP_KEEPIDLE,
-            std::max(1, SilenceMs / 1'000));
+            std::max(1, TimeoutMs / 1'000));
   setOption(Descriptor, IPPROTO_TCP, TCP_KEEPINTVL, 1);
   setOption(Descriptor, IPPROTO_TCP, TCP_KEEPCNT, 2);
   const sockaddr_in Address = toSockaddr(Endpoint);
--- a/Libraries/EventLoop/socket.h
+++ b/Libraries/EventLoop/socket.h
@@ -18,24 +18,27 @@
 
 /// Parses `ip:port`.
 result<endpoint> parseEndpoint(std::string_view Text);
-/// The `ip:port` of an endpoint.
+/// Formats an endpoint as `ip:port`.
 std::string toString(const endpoint &Endpoint);
 
-/// Listens for TCP connections; the descriptor.
+/// Opens a listening TCP socket and returns its descriptor.
 result<int> listenAt(const endpoint &Endpoint);
-/// Takes one waiting connection; -1 when there is none. \p OutOfDescriptors
-/// tells that one waits and this process may not open it.
+/// Accepts one pending connection and returns its descriptor, or -1 if there is
+/// none. \p OutOfDescriptors is set if a connection is pending but the limit on
+/// file descriptors is reached.
 int acceptFrom(int Listener, bool &OutOfDescriptors);
-/// Begins a connection; the descriptor, which becomes writable when it stands.
-/// \p Silence is how long sent bytes may stay unacknowledged, and how long an
-/// idle connection goes unasked, before the peer counts as gone: a peer
-/// without power or behind a partition never answers, not even with a reset.
-result<int> connectTo(const endpoint &Endpoint, duration Silence);
-/// Error of a connection that was begun; 0 when it stands.
+/// Starts connecting and returns the descriptor, which becomes writable once
+/// the connection is established. \p Timeout bounds how long sent bytes may
+/// stay unacknowledged, and how long an idle connection goes without a
+/// keep-alive probe, before the peer is considered unreachable: a peer that
+/// lost power or is behind a partition never responds, not even with a reset.
+result<int> connectTo(const endpoint &Endpoint, duration Timeout);
+/// Returns the error of a connection attempt; 0 if it is established.
 int connectError(int Descriptor);
-/// A UDP socket bound to \p Endpoint.
+/// Opens a UDP socket bound to \p Endpoint and returns its descriptor.
 result<int> bindDatagrams(const endpoint &Endpoint);
-/// Closes with a reset, so that the peer can't take a part for the whole.
+/// Closes with a reset, so that the peer cannot mistake a truncated message for
+/// a complete one.
 void closeWithReset(int Descriptor);
 
 } // namespace amaranthhoist
--- a/Libraries/EventLoop/stream.cpp
+++ b/Libraries/EventLoop/stream.cpp
@@ -9,8 +9,8 @@
 
 namespace amaranthhoist {
 
-/// Bytes read at a time, on the stack: an owner may resume another stream from
-/// within its own call.
+/// Size of the read buffer in bytes. It is on the stack, since an owner may
+/// resume another stream from within its callback.
 static constexpr std::size_t ReadSize = 32'768;
 
 stream::~stream() { close(); }
@@ -43,7 +43,7 @@
 void stream::endWhenDrained() {
   if (Descriptor < 0)
     return;
-  EndsWhenDrained = true;
+  ShutdownWhenFlushed = true;
   if (pending() == 0)
     shutdown(Descriptor, SHUT_WR);
 }
@@ -52,80 +52,80 @@
   if (Descriptor < 0)
     return;
   if (pending() > 0 || !IsConnected) {
-    Unsent.append(Bytes);
+    WriteBuffer.append(Bytes);
     return;
   }
   const ssize_t Count =
       send(Descriptor, Bytes.data(), Bytes.size(), MSG_NOSIGNAL);
-  const std::size_t Taken = Count > 0 ? static_cast<std::size_t>(Count) : 0;
-  // An error other than a full buffer shows as a hang-up event.
-  if (Taken < Bytes.size()) {
-    Unsent.assign(Bytes.substr(Taken));
-    Sent = 0;
+  const std::size_t Accepted = Count > 0 ? static_cast<std::size_t>(Count) : 0;
+  // An error other than a full buffer is reported as a disconnect event.
+  if (Accepted < Bytes.size()) {
+    WriteBuffer.assign(Bytes.substr(Accepted));
+    WriteOffset = 0;
   }
 }
 
 void stream::flush() {
   while (pending() > 0) {
-    const ssize_t Count =
-        send(Descriptor, Unsent.data() + Sent, pending(), MSG_NOSIGNAL);
+    const ssize_t Count = send(Descriptor, WriteBuffer.data() + WriteOffset,
+                               pending(), MSG_NOSIGNAL);
     if (Count <= 0)
       return;
-    Sent += static_cast<std::size_t>(Count);
+    WriteOffset += static_cast<std::size_t>(Count);
   }
-  const bool HadSome = !Unsent.empty();
-  Unsent.clear();
-  Sent = 0;
-  if (!HadSome)
+  const bool HadPendingBytes = !WriteBuffer.empty();
+  WriteBuffer.clear();
+  WriteOffset = 0;
+  if (!HadPendingBytes)
     return;
-  if (EndsWhenDrained)
+  if (ShutdownWhenFlushed)
     shutdown(Descriptor, SHUT_WR);
   Owner.onDrained();
 }
 
 void stream::resume() {
-  IsPaused = false;
-  if (HasMoreToRead)
-    readAll(PeerHungUp);
+  IsReadingPaused = false;
+  if (HasUnreadInput)
+    readAll(PeerDisconnected);
 }
 
-void stream::end(stream_end End) {
+void stream::disconnect(stream_end Reason) {
   if (Descriptor < 0)
     return;
   close();
-  Owner.onEnd(End);
+  Owner.onEnd(Reason);
 }
 
-void stream::readAll(bool UntilEnd) {
+void stream::readAll(bool UntilEof) {
   std::array<char, ReadSize> Buffer; // NOLINT(*-member-init): recv fills it
-  HasMoreToRead = false;
+  HasUnreadInput = false;
   while (Descriptor >= 0) {
-    if (IsPaused) {
-      HasMoreToRead = true;
+    if (IsReadingPaused) {
+      HasUnreadInput = true;
       return;
     }
     const ssize_t Count = recv(Descriptor, Buffer.data(), Buffer.size(), 0);
     if (Count == 0) {
-      end(stream_end::InOrder);
+      disconnect(stream_end::InOrder);
       return;
     }
     if (Count < 0) {
       if (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR)
-        end(stream_end::Broken);
+        disconnect(stream_end::Broken);
       return;
     }
     const auto Size = static_cast<std::size_t>(Count);
     Owner.onBytes({Buffer.data(), Size});
-    // A short read has emptied the kernel's buffer.
-    if (Size < Buffer.size() && !UntilEnd)
+    // A short read means that the kernel's buffer is empty.
+    if (Size < Buffer.size() && !UntilEof)
       return;
   }
 }
 
 void stream::onEvent(const io_event &Event) {
-  if (!IsConnected && (Event.Writable || Event.HungUp)) {
+  if (!IsConnected && (Event.Writable || Event.Disconnected)) {
     if (connectError(Descriptor) != 0) {
-      end(stream_end::Broken);
+      disconnect(stream_end::Broken);
       return;
     }
     if (!Event.Writable)
@@ -135,12 +135,12 @@
     if (Descriptor < 0)
       return;
   }
-  if (Event.HungUp)
-    PeerHungUp = true;
+  if (Event.Disconnected)
+    PeerDisconnected = true;
   if (Event.Writable && pending() > 0)
     flush();
-  if (Descriptor >= 0 && (Event.Readable || Event.HungUp))
-    readAll(PeerHungUp);
+  if (Descriptor >= 0 && (Event.Readable || Event.Disconnected))
+    readAll(PeerDisconnected);
 }
 
 } // namespace amaranthhoist
--- a/Libraries/EventLoop/stream.h
+++ b/Libraries/EventLoop/stream.h
@@ -1,5 +1,5 @@
-/// One non-blocking TCP connection on an event loop, with a buffer for what
-/// the peer hasn't taken yet.
+/// A non-blocking TCP connection on an event loop, with a write buffer for
+/// bytes that the kernel has not accepted yet.
 #pragma once
 
 #include "EventLoop/event_loop.h"
@@ -10,24 +10,24 @@
 
 namespace amaranthhoist {
 
-/// How a connection ended.
+/// Why a connection was closed.
 enum class stream_end : std::uint8_t {
-  /// The peer closed its side in order.
+  /// The peer closed its side gracefully.
   InOrder,
-  /// Reset, or the peer fell silent.
+  /// The connection was reset, or the peer stopped responding.
   Broken,
 };
 
-/// Gets what happens at a connection. In any call the owner may close the
-/// stream, but must not destroy it before the round of events ends.
+/// Receives the events of a connection. The owner may close the stream in any
+/// callback, but must not destroy it before the current loop iteration ends.
 class stream_owner {
 public:
   virtual ~stream_owner() = default;
   virtual void onConnected() {}
   virtual void onBytes(std::string_view Bytes) = 0;
-  /// Everything that was written has been handed to the kernel.
+  /// The kernel has accepted all written bytes.
   virtual void onDrained() {}
-  virtual void onEnd(stream_end End) = 0;
+  virtual void onEnd(stream_end Reason) = 0;
 };
 
 class stream : public io_handler {
@@ -37,46 +37,50 @@
   stream(const stream &) = delete;
   stream &operator=(const stream &) = delete;
 
-  /// Takes over a connection that stands, or one that was begun.
+  /// Takes ownership of \p Descriptor, whose connection is established or still
+  /// in progress.
   [[nodiscard]] bool open(int Descriptor, bool IsConnected);
 
-  /// Sends, and keeps what the kernel doesn't take.
+  /// Sends \p Bytes and buffers those that the kernel does not accept.
   void write(std::string_view Bytes);
-  /// Bytes that wait for the peer.
-  [[nodiscard]] std::size_t pending() const { return Unsent.size() - Sent; }
+  /// Number of bytes in the write buffer.
+  [[nodiscard]] std::size_t pending() const {
+    return WriteBuffer.size() - WriteOffset;
+  }
 
-  /// Stops and resumes reading.
-  void pause() { IsPaused = true; }
+  /// Stops reading, to apply back pressure to the peer, until resume().
+  void pause() { IsReadingPaused = true; }
   void resume();
 
   [[nodiscard]] bool isOpen() const { return Descriptor >= 0; }
   [[nodiscard]] bool isConnected() const { return IsConnected; }
-  /// Closes at once; what waits is dropped.
+  /// Closes immediately and drops the write buffer.
   void close();
-  /// Closes with a reset: the peer can't take a part for the whole.
+  /// Closes with a reset, so that the peer cannot mistake a truncated message
+  /// for a complete one.
   void closeWithReset();
-  /// Ends this side once everything waiting is sent. The peer's close follows
-  /// as onEnd(): closing before it has read everything would turn into a reset
-  /// that overtakes what was sent.
+  /// Shuts down the sending side once the write buffer is empty. The peer's
+  /// close is then reported as onDisconnect(). Closing before the peer has read
+  /// everything could send a reset, which would discard unread bytes.
   void endWhenDrained();
 
   void onEvent(const io_event &Event) override;
 
 private:
-  void readAll(bool UntilEnd);
+  void readAll(bool UntilEof);
   void flush();
-  void end(stream_end End);
+  void disconnect(stream_end Reason);
 
   event_loop &Loop;
   stream_owner &Owner;
   int Descriptor = -1;
   bool IsConnected = false;
-  bool IsPaused = false;
-  bool HasMoreToRead = false;
-  bool PeerHungUp = false;
-  bool EndsWhenDrained = false;
-  std::string Unsent;
-  std::size_t Sent = 0;
+  bool IsReadingPaused = false;
+  bool HasUnreadInput = false;
+  bool PeerDisconnected = false;
+  bool ShutdownWhenFlushed = false;
+  std::string WriteBuffer;
+  std::size_t WriteOffset = 0;
 };
 
 } // namespace amaranthhoist
