--- a/Libraries/HttpMessage/http_message.cpp
+++ b/Libraries/HttpMessage/http_message.cpp
@@ -39,68 +39,71 @@
   return http_method_str(static_cast<http_method>(Method));
 }
 
-/// The parser library's callbacks.
+/// Callbacks for http-parser.
 struct message_reader::callbacks {
-  static message_reader &of(http_parser *Parser) {
+  static message_reader &readerOf(http_parser *Parser) {
     return *static_cast<message_reader *>(Parser->data);
   }
   static int onTarget(http_parser *Parser, const char *At, std::size_t Size) {
-    of(Parser).Head.Target.append(At, Size);
+    readerOf(Parser).Head.Target.append(At, Size);
     return 0;
   }
-  static int onName(http_parser *Parser, const char *At, std::size_t Size) {
-    message_reader &Reader = of(Parser);
-    // Trailers of a chunked body aren't kept.
+  static int onFieldName(http_parser *Parser, const char *At,
+                         std::size_t Size) {
+    message_reader &Reader = readerOf(Parser);
+    // Trailers of a chunked body are ignored.
     if (Reader.State != read_state::InHead)
       return 0;
-    if (Reader.LastWasValue) {
+    if (Reader.LastWasFieldValue) {
       message_head::span Span;
       Span.Name = static_cast<std::uint32_t>(Reader.Head.Text.size());
       Reader.Head.Spans.push_back(Span);
-      Reader.LastWasValue = false;
+      Reader.LastWasFieldValue = false;
     }
     Reader.Head.Text.append(At, Size);
     Reader.Head.Spans.back().NameSize += static_cast<std::uint32_t>(Size);
     return 0;
   }
-  static int onValue(http_parser *Parser, const char *At, std::size_t Size) {
-    message_reader &Reader = of(Parser);
+  static int onFieldValue(http_parser *Parser, const char *At,
+                          std::size_t Size) {
+    message_reader &Reader = readerOf(Parser);
     if (Reader.State != read_state::InHead)
       return 0;
     message_head::span &Span = Reader.Head.Spans.back();
-    if (!Reader.LastWasValue)
+    if (!Reader.LastWasFieldValue)
       Span.Value = static_cast<std::uint32_t>(Reader.Head.Text.size());
-    Reader.LastWasValue = true;
+    Reader.LastWasFieldValue = true;
     Reader.Head.Text.append(At, Size);
     Span.ValueSize += static_cast<std::uint32_t>(Size);
     return 0;
   }
   static int onHeadersComplete(http_parser *Parser) {
-    message_reader &Reader = of(Parser);
+    message_reader &Reader = readerOf(Parser);
     Reader.finishHead();
-    // Stops the parser, which would go on to the body of a refused message.
+    // Stops the parser, which would otherwise parse the body of a rejected
+    // message.
     if (Reader.State == read_state::Malformed)
       return -1;
     return Reader.WithoutBody ? 1 : 0;
   }
   static int onBody(http_parser *Parser, const char *At, std::size_t Size) {
-    of(Parser).Body.append(At, Size);
+    readerOf(Parser).Body.append(At, Size);
     return 0;
   }
   static int onComplete(http_parser *Parser) {
-    message_reader &Reader = of(Parser);
-    Reader.KeepsAlive = http_should_keep_alive(Parser) != 0;
+    message_reader &Reader = readerOf(Parser);
+    Reader.IsKeepAlive = http_should_keep_alive(Parser) != 0;
     Reader.State = read_state::Complete;
     // Stops the parser before the next message.
     http_parser_pause(Parser, 1);
     return 0;
   }
-  static http_parser_settings make() {
+  static http_parser_settings makeSettings() {
     http_parser_settings Settings;
     http_parser_settings_init(&Settings);
     Settings.on_url = onTarget;
-    Settings.on_header_field = onName;
-    Settings.on_header_value = onValue;
+    Settings.on_header_field = onFieldName;
+    Settings.on_header_value = onFieldValue;
     Settings.on_headers_complete = onHeadersComplete;
     Settings.on_body = onBody;
     Settings.on_message_complete = onComplete;
@@ -124,21 +127,21 @@
   Head.Status = 0;
   Body.clear();
   ContentLength.reset();
-  Begun = false;
+  HasStarted = false;
   WithoutBody = NoBody;
-  EndsWithConnection = false;
-  KeepsAlive = false;
-  LastWasValue = true;
+  BodyEndsAtClose = false;
+  IsKeepAlive = false;
+  LastWasFieldValue = true;
   HeadBytes = 0;
   LastByte = 0;
   AtLineStart = false;
   LineIsEmpty = true;
 }
 
-/// Refuses line ends without a carriage return and folded lines. Some parsers
-/// take them for the end of a field and some don't, so that one message could
-/// be hidden in another.
-bool message_reader::headLinesAreSound(std::string_view Bytes) {
+/// Rejects line endings without a carriage return, and folded lines. Parsers
+/// disagree on whether these end a field, so that one message could be hidden
+/// inside another (request smuggling).
+bool message_reader::hasValidLines(std::string_view Bytes) {
   std::size_t At = 0;
   while (At < Bytes.size()) {
     if (AtLineStart && (Bytes[At] == ' ' || Bytes[At] == '\t'))
@@ -154,7 +157,7 @@
     if (Before != '\r')
       return false;
     const std::string_view Line = Bytes.substr(At, End - At);
-    // The body follows and may hold any bytes.
+    // The body follows and may contain any bytes.
     if (LineIsEmpty && (Line == "\r" || Line.empty()) && HeadBytes > 0)
       return true;
     LineIsEmpty = true;
@@ -166,9 +169,10 @@
   return true;
 }
 
-/// Two lengths, a length and chunks, or codings that only some know could make
-/// two parties disagree on where the message ends.
-bool message_reader::headIsSound() const {
+/// Rejects framing on which two parties could disagree: more than one length, a
+/// length together with chunked encoding, or transfer codings that not every
+/// party supports.
+bool message_reader::hasUnambiguousFraming() const {
   if (Head.count("content-length") > 1)
     return false;
   const auto Coding = Head.find("transfer-encoding");
@@ -189,8 +193,8 @@
 void message_reader::finishHead() {
   Head.Method = Parser.method;
   Head.Status = static_cast<int>(Parser.status_code);
-  KeepsAlive = http_should_keep_alive(&Parser) != 0;
-  if (!headIsSound()) {
+  IsKeepAlive = http_should_keep_alive(&Parser) != 0;
+  if (!hasUnambiguousFraming()) {
     State = read_state::Malformed;
     return;
   }
@@ -199,25 +203,25 @@
     ContentLength = Parser.content_length;
   const bool NeverHasBody =
       Head.Status / 100 == 1 || Head.Status == 204 || Head.Status == 304;
-  EndsWithConnection = Kind == message_kind::Response && !WithoutBody &&
-                       !NeverHasBody && !ContentLength &&
-                       !Head.find("transfer-encoding").has_value();
+  BodyEndsAtClose = Kind == message_kind::Response && !WithoutBody &&
+                    !NeverHasBody && !ContentLength &&
+                    !Head.find("transfer-encoding").has_value();
 }
 
 std::size_t message_reader::feed(std::string_view Bytes) {
-  static const http_parser_settings Settings = callbacks::make();
+  static const http_parser_settings Settings = callbacks::makeSettings();
   if (Bytes.empty() || State == read_state::Complete ||
       State == read_state::Malformed || State == read_state::HeadTooLarge)
     return 0;
-  Begun = true;
+  HasStarted = true;
   if (State == read_state::InHead) {
-    if (!headLinesAreSound(Bytes)) {
+    if (!hasValidLines(Bytes)) {
       State = read_state::Malformed;
       return 0;
     }
   }
   const bool WasInHead = State == read_state::InHead;
-  const std::size_t Taken =
+  const std::size_t Consumed =
       http_parser_execute(&Parser, &Settings, Bytes.data(), Bytes.size());
   const auto Error = static_cast<http_errno>(Parser.http_errno);
   if (WasInHead && Head.Text.size() + Head.Target.size() > MaxHeadBytes)
@@ -226,12 +230,12 @@
     State = read_state::HeadTooLarge;
   else if (Error != HPE_OK && Error != HPE_PAUSED)
     State = read_state::Malformed;
-  return Taken;
+  return Consumed;
 }
 
 void message_reader::feedEnd() {
-  static const http_parser_settings Settings = callbacks::make();
-  if (State == read_state::InBody && EndsWithConnection)
+  static const http_parser_settings Settings = callbacks::makeSettings();
+  if (State == read_state::InBody && BodyEndsAtClose)
     http_parser_execute(&Parser, &Settings, nullptr, 0);
 }
 
@@ -264,7 +268,7 @@
 std::optional<double> retryAfterSeconds(const message_head &Head) {
   const auto Field = Head.find("retry-after");
   const auto Seconds = Field ? parseNumber<double>(*Field) : std::nullopt;
-  // The number may be written as one that is none.
+  // parseNumber() also accepts "nan" and "inf".
   if (!Seconds || !std::isfinite(*Seconds) || *Seconds < 0)
     return std::nullopt;
   return Seconds;
--- a/Libraries/HttpMessage/http_message.h
+++ b/Libraries/HttpMessage/http_message.h
@@ -1,7 +1,8 @@
-/// HTTP/1.1 messages without I/O: readers that take bytes as they come and
-/// stop at the end of a message, and writers. The grammar is the http-parser
-/// library's; what it lets pass and a sender could use to make two parties
-/// disagree on where a message ends is refused here.
+/// HTTP/1.1 messages without I/O: an incremental reader that stops at the end
+/// of a message, and serialization helpers. The http-parser library parses the
+/// grammar. The reader also rejects messages that http-parser accepts although
+/// their framing is ambiguous: two parties could disagree on where such a
+/// message ends (request smuggling).
 #pragma once
 
 #include <cstddef>
@@ -14,7 +15,7 @@
 
 namespace amaranthhoist {
 
-/// The head of a message. Fields are views into one block of text.
+/// The head of a message. Fields are views into one text buffer.
 class message_head {
 public:
   struct field {
@@ -24,17 +25,17 @@
 
   [[nodiscard]] std::size_t fieldCount() const { return Spans.size(); }
   [[nodiscard]] field fieldAt(std::size_t Index) const;
-  /// Value of the first field of that name, whatever its case.
+  /// Returns the value of the first field called \p Name, ignoring case.
   [[nodiscard]] std::optional<std::string_view>
   find(std::string_view Name) const;
-  /// How often a field of that name is there.
+  /// Returns the number of fields called \p Name, ignoring case.
   [[nodiscard]] std::size_t count(std::string_view Name) const;
 
-  /// Of a request.
+  /// The method of a request.
   std::string_view method() const;
-  /// Of a request: path and query as they were sent.
+  /// The path and query of a request, as received.
   [[nodiscard]] std::string_view target() const { return Target; }
-  /// Of a response.
+  /// The status code of a response.
   [[nodiscard]] int status() const { return Status; }
 
 private:
@@ -55,54 +56,56 @@
 enum class message_kind : std::uint8_t { Request, Response };
 
 enum class read_state : std::uint8_t {
-  /// The head isn't whole.
+  /// The head is incomplete.
   InHead,
-  /// The head is whole, the body isn't.
+  /// The head is complete, the body is not.
   InBody,
   Complete,
   Malformed,
   HeadTooLarge,
 };
 
-/// Reads one message. Bytes after its end aren't taken.
+/// Reads one message at a time. Does not consume bytes after its end.
 class message_reader {
 public:
-  /// \p MaxHeadBytes: a longer head ends as HeadTooLarge.
+  /// A head longer than \p MaxHeadBytes leads to read_state::HeadTooLarge.
   message_reader(message_kind Kind, std::size_t MaxHeadBytes);
   message_reader(const message_reader &) = delete;
   message_reader &operator=(const message_reader &) = delete;
 
-  /// Begins the next message. \p WithoutBody: a response to a HEAD request,
-  /// whose head tells a length that doesn't follow.
+  /// Prepares for the next message. \p WithoutBody marks a response to a HEAD
+  /// request, whose head states the length of a body that is not sent.
   void reset(bool WithoutBody = false);
 
-  /// Takes bytes; how many of them belong to this message. Body bytes are
-  /// added to body().
+  /// Parses \p Bytes and returns how many of them belong to this message.
+  /// Appends body bytes to body().
   std::size_t feed(std::string_view Bytes);
-  /// The peer closed in order: ends a response that has no length.
+  /// Handles a graceful close by the peer, which completes a response without a
+  /// length.
   void feedEnd();
 
   [[nodiscard]] read_state state() const { return State; }
-  /// Whether any byte of the message was read.
-  [[nodiscard]] bool hasBegun() const { return Begun; }
+  /// Whether any byte of the message has been read.
+  [[nodiscard]] bool hasBegun() const { return HasStarted; }
   [[nodiscard]] const message_head &head() const { return Head; }
-  /// Body bytes that were read and not taken away.
+  /// Body bytes that were read and not yet removed by the caller.
   std::string &body() { return Body; }
-  /// Length that the head tells; none when chunked or until the close.
+  /// The Content-Length; none if the body is chunked or ends with the
+  /// connection.
   [[nodiscard]] std::optional<std::uint64_t> contentLength() const {
     return ContentLength;
   }
-  /// Whether only the close of the connection ends the body.
-  [[nodiscard]] bool endsWithConnection() const { return EndsWithConnection; }
-  /// Whether the connection may carry another message.
-  [[nodiscard]] bool keepsAlive() const { return KeepsAlive; }
+  /// Whether the body ends only when the connection is closed.
+  [[nodiscard]] bool endsWithConnection() const { return BodyEndsAtClose; }
+  /// Whether the connection can be reused for another message.
+  [[nodiscard]] bool keepsAlive() const { return IsKeepAlive; }
 
 private:
   struct callbacks;
   friend struct callbacks;
 
-  bool headLinesAreSound(std::string_view Bytes);
-  bool headIsSound() const;
+  bool hasValidLines(std::string_view Bytes);
+  bool hasUnambiguousFraming() const;
   void finishHead();
 
   message_kind Kind;
@@ -112,35 +115,36 @@
   message_head Head;
   std::string Body;
   std::optional<std::uint64_t> ContentLength;
-  bool Begun = false;
+  bool HasStarted = false;
   bool WithoutBody = false;
-  bool EndsWithConnection = false;
-  bool KeepsAlive = false;
-  bool LastWasValue = true;
+  bool BodyEndsAtClose = false;
+  bool IsKeepAlive = false;
+  bool LastWasFieldValue = true;
   std::size_t HeadBytes = 0;
-  /// For the check of line ends, across pieces.
+  /// State of the line ending check, kept across calls of feed().
   char LastByte = 0;
   bool AtLineStart = false;
   bool LineIsEmpty = true;
 };
 
-/// Whether \p Name concerns one connection only and isn't passed on.
+/// Whether \p Name is a hop-by-hop field, which is not forwarded.
 bool isHopByHop(std::string_view Name);
 /// Whether the head's Connection field lists \p Name.
 bool isNamedByConnection(const message_head &Head, std::string_view Name);
 
-/// Seconds that the head's Retry-After field tells, with fractions. None
-/// without such a field, or where it holds anything else, a date included.
+/// Returns the value of the Retry-After field in seconds, which may be
+/// fractional. Returns none if the field is missing or holds anything other
+/// than a non-negative finite number, such as a date.
 std::optional<double> retryAfterSeconds(const message_head &Head);
 
-/// The customary phrase of a status.
+/// Returns the standard reason phrase of a status code.
 std::string_view reasonOf(int Status);
-/// Adds `Name: Value` and the end of the line.
+/// Appends `Name: Value` and a line ending.
 void appendField(std::string &Text, std::string_view Name,
                  std::string_view Value);
-/// Adds one chunk of a chunked body.
+/// Appends one chunk of a chunked body; nothing if \p Piece is empty.
 void appendChunk(std::string &Text, std::string_view Piece);
-/// Ends a chunked body.
+/// Appends the last chunk, which ends a chunked body.
 void appendLastChunk(std::string &Text);
 
 } // namespace amaranthhoist
--- a/Tests/http_message_test.cpp
+++ b/Tests/http_message_test.cpp
@@ -1,5 +1,5 @@
-// Reading messages: what two parties could understand differently is refused,
-// and no input makes the reader take more than it was given.
+// Tests that the message reader rejects ambiguous framing, and that no input
+// makes it consume more bytes than it was given.
 
 #include "HttpMessage/http_message.h"
 
@@ -16,10 +16,10 @@
   message_reader Reader(message_kind::Request, HeadLimit);
   while (!Text.empty()) {
     const std::string_view Piece = Text.substr(0, PieceSize);
-    const std::size_t Taken = Reader.feed(Piece);
-    if (Taken < Piece.size())
+    const std::size_t Consumed = Reader.feed(Piece);
+    if (Consumed < Piece.size())
       break;
-    Text.remove_prefix(Taken);
+    Text.remove_prefix(Consumed);
   }
   return Reader.state();
 }
@@ -30,7 +30,7 @@
 TEST_GROUP(HttpMessage) {};
 // clang-format on
 
-TEST(HttpMessage, ReadsARequestInPiecesOfAnySize) {
+TEST(HttpMessage, ReadsRequestInPiecesOfAnySize) {
   const std::string Text = "POST /a/b?c=d HTTP/1.1\r\nHost: h\r\nX-Key:  v \r\n"
                            "Content-Length: 5\r\n\r\nhello";
   for (std::size_t Size = 1; Size <= Text.size(); ++Size) {
@@ -44,10 +44,10 @@
   }
 }
 
-// Symptom: a request runs that no caller sent. Sequence: one message whose end
-// two parties see at different places, so that its rest counts as another.
-// Cause: framing that some parsers accept one way and some another.
-TEST(HttpMessage, AmbiguousFramingIsRefused) {
+// Guards against request smuggling: two parties parse ambiguous framing
+// differently and disagree on where a message ends, so that its remainder runs
+// as a request that no client sent.
+TEST(HttpMessage, RejectsAmbiguousFraming) {
   for (
       const char *Text :
       {"GET / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n"
@@ -68,12 +68,12 @@
   }
 }
 
-TEST(HttpMessage, ALineEndInABodyIsNoFraming) {
+TEST(HttpMessage, IgnoresLineEndingsInBody) {
   CHECK(readRequest("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n"
                     "a\n b") == read_state::Complete);
 }
 
-TEST(HttpMessage, AHeadBeyondTheLimitIsToldApart) {
+TEST(HttpMessage, ReportsOversizedHead) {
   const std::string Text =
       "GET / HTTP/1.1\r\nHost: h\r\nX: " + std::string(2 * HeadLimit, 'x') +
       "\r\n\r\n";
@@ -87,10 +87,10 @@
   CHECK(Reader.state() == read_state::Complete);
 }
 
-// Symptom: a caller takes a part of an answer for the whole. Sequence: an
-// answer without a length whose connection ends. Cause: only the way it ends
-// tells whether it is whole.
-TEST(HttpMessage, AnAnswerWithoutLengthEndsWithItsConnection) {
+// Guards against passing on a truncated response as complete. A response
+// without a length ends with its connection, and only the way in which the
+// connection is closed shows whether the response is complete.
+TEST(HttpMessage, ResponseWithoutLengthEndsAtConnectionClose) {
   message_reader Reader(message_kind::Response, HeadLimit);
   Reader.feed("HTTP/1.1 200 OK\r\n\r\npart");
   CHECK(Reader.state() == read_state::InBody);
@@ -103,19 +103,19 @@
   CHECK(WithLength.state() == read_state::InBody);
 }
 
-TEST(HttpMessage, TheAnswerToAHeadRequestHasNoBody) {
+TEST(HttpMessage, ResponseToHeadRequestHasNoBody) {
   message_reader Reader(message_kind::Response, HeadLimit);
   Reader.reset(/*WithoutBody=*/true);
   Reader.feed("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n");
   CHECK(Reader.state() == read_state::Complete);
 }
 
-TEST(HttpMessage, NoInputMakesTheReaderTakeMoreThanItGot) {
+TEST(HttpMessage, NeverConsumesMoreThanItsInput) {
   std::mt19937_64 Random(7);
-  const std::string Sound = "POST /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: "
+  const std::string Valid = "POST /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: "
                             "chunked\r\nX-A: b\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
   for (int Round = 0; Round < 20'000; ++Round) {
-    std::string Text = Sound;
+    std::string Text = Valid;
     for (int Change = 0; Change < 4; ++Change)
       Text[Random() % Text.size()] = static_cast<char>(Random());
     message_reader Reader(Random() % 2 == 0 ? message_kind::Request
@@ -128,8 +128,8 @@
   }
 }
 
-// Failure: a time to come back that is no number of seconds counts as one.
-TEST(HttpMessage, ATimeToComeBackIsANumberOfSecondsOrNone) {
+// Guards against accepting a Retry-After value that is not a number of seconds.
+TEST(HttpMessage, ParsesRetryAfterSecondsOnly) {
   const auto Read = [](const std::string &Value) {
     message_reader Reader(message_kind::Response, HeadLimit);
     Reader.feed("HTTP/1.1 503 Service Unavailable\r\nRetry-After: " + Value +
