--- a/Libraries/HttpConnection/client_connection.cpp
+++ b/Libraries/HttpConnection/client_connection.cpp
@@ -4,30 +4,31 @@
 
 namespace amaranthhoist {
 
-/// Longest head of an answer that is read.
-static constexpr std::size_t MaxResponseHead = 65'536;
-/// Answers to other calls that are skipped before a connection counts as out
-/// of step.
-static constexpr int MaxSkipped = 2;
+/// Maximum size of a response head in bytes.
+static constexpr std::size_t MaxResponseHeadBytes = 65'536;
+/// Number of responses to other calls that are skipped before the connection is
+/// considered out of sync.
+static constexpr int MaxSkippedResponses = 2;
 
 client_connection::client_connection(event_loop &Loop)
     : Loop(Loop), Stream(Loop, *this),
-      Reader(message_kind::Response, MaxResponseHead) {}
+      Reader(message_kind::Response, MaxResponseHeadBytes) {}
 
-bool client_connection::connect(const endpoint &Endpoint, duration Silence) {
-  auto Descriptor = connectTo(Endpoint, Silence);
+bool client_connection::connect(const endpoint &Endpoint,
+                                duration PeerTimeout) {
+  auto Descriptor = connectTo(Endpoint, PeerTimeout);
   return Descriptor && Stream.open(*Descriptor, /*IsConnected=*/false);
 }
 
 void client_connection::call(call_owner &NewOwner, std::string_view Request,
-                             bool ToHead) {
+                             bool IsHeadRequest) {
   Owner = &NewOwner;
-  IsHead = ToHead;
-  HeadTaken = false;
-  Skipping = false;
-  Skipped = 0;
-  ++Calls;
-  Reader.reset(IsHead);
+  IsForHead = IsHeadRequest;
+  HeadHandled = false;
+  IsSkippingResponse = false;
+  SkippedResponses = 0;
+  ++CallCount;
+  Reader.reset(IsForHead);
   Stream.write(Request);
 }
 
@@ -39,8 +40,9 @@
 
 void client_connection::onConnected() { Stream.resume(); }
 
-/// How long the server keeps an idle connection: `timeout=N` in whole seconds.
-static duration keptFor(const message_head &Head) {
+/// Parses `timeout=N` of the Keep-Alive field: the whole seconds for which the
+/// server keeps an idle connection open.
+static duration parseKeepAliveTimeout(const message_head &Head) {
   const auto Field = Head.find("keep-alive");
   if (!Field)
     return duration::zero();
@@ -57,27 +59,27 @@
   return duration::zero();
 }
 
-void client_connection::takeHead() {
-  HeadTaken = true;
+void client_connection::handleHead() {
+  HeadHandled = true;
   const message_head &Head = Reader.head();
-  // Interim answers precede the real one.
-  Skipping = Head.status() / 100 == 1;
-  if (Skipping)
+  // Interim responses precede the final one.
+  IsSkippingResponse = Head.status() / 100 == 1;
+  if (IsSkippingResponse)
     return;
-  Skipping = !Owner->onHead(Head);
-  if (Skipping) {
-    // An answer too many: this connection is out of step, and what comes next
-    // on it can't be trusted beyond the present call.
+  IsSkippingResponse = !Owner->onHead(Head);
+  if (IsSkippingResponse) {
+    // An extra response: the connection is out of sync and must not be reused
+    // after the current call.
     IsReusable = false;
-    ++Skipped;
+    ++SkippedResponses;
     return;
   }
-  KeptFor = keptFor(Head);
+  KeptFor = parseKeepAliveTimeout(Head);
 }
 
 void client_connection::onBytes(std::string_view Bytes) {
   if (!Owner) {
-    // Nothing was asked: whatever this is belongs to no call.
+    // No call is in flight, so that these bytes belong to no call.
     close();
     return;
   }
@@ -88,35 +90,35 @@
       failCall(/*Garbled=*/true);
       return;
     }
-    if (!HeadTaken && State != read_state::InHead) {
-      takeHead();
+    if (!HeadHandled && State != read_state::InHead) {
+      handleHead();
       if (!Owner)
         return;
-      if (Skipped > MaxSkipped) {
+      if (SkippedResponses > MaxSkippedResponses) {
         failCall(/*Garbled=*/true);
         return;
       }
     }
-    if (Skipping)
+    if (IsSkippingResponse)
       Reader.body().clear();
-    else if (HeadTaken && !Reader.body().empty())
+    else if (HeadHandled && !Reader.body().empty())
       Owner->onBody(Reader.body());
     if (!Owner)
       return;
     if (State != read_state::Complete)
       return;
-    if (!Skipping) {
+    if (!IsSkippingResponse) {
       finish(Bytes);
       return;
     }
-    HeadTaken = false;
-    Skipping = false;
-    Reader.reset(IsHead);
+    HeadHandled = false;
+    IsSkippingResponse = false;
+    Reader.reset(IsForHead);
   }
 }
 
-void client_connection::finish(std::string_view Rest) {
-  IsReusable = IsReusable && Reader.keepsAlive() && Rest.empty() &&
+void client_connection::finish(std::string_view Trailing) {
+  IsReusable = IsReusable && Reader.keepsAlive() && Trailing.empty() &&
                Stream.pending() == 0 && Stream.isOpen();
   IdleSince = Loop.now();
   call_owner *Finished = Owner;
@@ -128,18 +130,18 @@
 
 void client_connection::failCall(bool Garbled) {
   call_owner *Failed = Owner;
-  const call_failure Failure{!Stream.isConnected(), Calls > 1,
+  const call_failure Failure{!Stream.isConnected(), CallCount > 1,
                              Reader.hasBegun(), Garbled};
   close();
   if (Failed)
     Failed->onFailure(Failure);
 }
 
-void client_connection::onEnd(stream_end End) {
+void client_connection::onEnd(stream_end Reason) {
   IsReusable = false;
   if (!Owner)
     return;
-  if (End == stream_end::InOrder && HeadTaken && !Skipping) {
+  if (Reason == stream_end::InOrder && HeadHandled && !IsSkippingResponse) {
     Reader.feedEnd();
     if (Reader.state() == read_state::Complete) {
       finish({});
--- a/Libraries/HttpConnection/client_connection.h
+++ b/Libraries/HttpConnection/client_connection.h
@@ -1,6 +1,6 @@
-/// One HTTP/1.1 connection to a server, for one call after another. Never sends
-/// anything twice, and tells exactly how far a call came; whether to call again
-/// is the caller's decision.
+/// An HTTP/1.1 client connection that performs one call at a time. It never
+/// retries, and reports exactly how far a failed call got; whether to retry is
+/// the decision of the call's owner.
 #pragma once
 
 #include "EventLoop/socket.h"
@@ -13,32 +13,34 @@
 
 namespace amaranthhoist {
 
-/// What is known of a call that failed.
+/// Describes how far a failed call got.
 struct call_failure {
-  /// No connection was made: no byte of the call left.
+  /// The connection was never established: no byte of the call was sent.
   bool NotConnected = false;
-  /// The connection had served other calls before. A server may close such a
-  /// connection just as a call is sent.
+  /// The connection had carried other calls before. A server may close such a
+  /// keep-alive connection at the moment when a call is sent.
   bool WasKept = false;
-  /// Bytes of an answer had come.
+  /// Bytes of a response had been received.
   bool HadAnswer = false;
-  /// What came was no answer in the protocol.
+  /// The received bytes were not a valid HTTP response.
   bool Garbled = false;
 };
 
-/// Gets the answer to one call.
+/// Receives the response to one call.
 class call_owner {
 public:
   virtual ~call_owner() = default;
-  /// The head of an answer. False: it belongs to another call; it is skipped
-  /// and the next one awaited.
+  /// Called with the head of a response. Returns false if the response belongs
+  /// to another call; the connection then skips it and waits for the next one.
   virtual bool onHead(const message_head &Head) = 0;
-  /// Bytes of the body were added to \p Body; the owner takes what it uses.
+  /// Called when bytes were appended to \p Body. The owner removes those that
+  /// it has processed.
   virtual void onBody(std::string &Body) = 0;
-  /// The answer is whole. The connection is free for the next call if
-  /// isReusable().
+  /// Called when the response is complete. The connection is available for the
+  /// next call if isReusable().
   virtual void onComplete() = 0;
-  /// The call is over without a whole answer; the connection is closed.
+  /// Called when the call ended without a complete response. The connection is
+  /// closed.
   virtual void onFailure(const call_failure &Failure) = 0;
 };
 
@@ -46,12 +48,13 @@
 public:
   explicit client_connection(event_loop &Loop);
 
-  /// Begins to connect. False when that fails at once.
-  [[nodiscard]] bool connect(const endpoint &Endpoint, duration Silence);
+  /// Starts connecting. Returns false if that fails immediately. \p PeerTimeout
+  /// is the timeout of connectTo().
+  [[nodiscard]] bool connect(const endpoint &Endpoint, duration PeerTimeout);
 
-  /// Sends \p Request, whole. One call at a time.
-  void call(call_owner &Owner, std::string_view Request, bool IsHead);
-  /// Closes; the owner hears nothing more.
+  /// Sends the complete \p Request. The previous call must have ended.
+  void call(call_owner &Owner, std::string_view Request, bool IsHeadRequest);
+  /// Closes the connection. The owner receives no further callbacks.
   void close();
 
   void pauseReading() { Stream.pause(); }
@@ -60,34 +63,35 @@
   [[nodiscard]] bool isConnected() const { return Stream.isConnected(); }
   [[nodiscard]] bool isOpen() const { return Stream.isOpen(); }
   [[nodiscard]] bool isReusable() const { return IsReusable; }
-  /// Length that the head of the answer tells.
+  /// The Content-Length of the response.
   [[nodiscard]] std::optional<std::uint64_t> contentLength() const {
     return Reader.contentLength();
   }
 
-  /// When the last call ended.
+  /// Time at which the last call ended.
   instant IdleSince{};
-  /// How long the server keeps it idle, as it said; zero: it didn't.
+  /// How long the server keeps the idle connection open, according to its
+  /// Keep-Alive field; zero if it did not say.
   duration KeptFor{};
 
 private:
   void onConnected() override;
   void onBytes(std::string_view Bytes) override;
-  void onEnd(stream_end End) override;
-  void takeHead();
-  void finish(std::string_view Rest);
+  void onEnd(stream_end Reason) override;
+  void handleHead();
+  void finish(std::string_view Trailing);
   void failCall(bool Garbled);
 
   event_loop &Loop;
   stream Stream;
   message_reader Reader;
   call_owner *Owner = nullptr;
-  bool IsHead = false;
-  bool HeadTaken = false;
-  bool Skipping = false;
+  bool IsForHead = false;
+  bool HeadHandled = false;
+  bool IsSkippingResponse = false;
   bool IsReusable = true;
-  int Calls = 0;
-  int Skipped = 0;
+  int CallCount = 0;
+  int SkippedResponses = 0;
 };
 
 } // namespace amaranthhoist
--- a/Libraries/HttpConnection/small_server.cpp
+++ b/Libraries/HttpConnection/small_server.cpp
@@ -9,10 +9,10 @@
 
 namespace amaranthhoist {
 
-/// Longest head that is read.
-static constexpr std::size_t MaxHead = 16'384;
-/// A connection without a whole request for this long is closed.
-static constexpr duration IdleTime = std::chrono::seconds(15);
+/// Maximum size of a request head in bytes.
+static constexpr std::size_t MaxHeadBytes = 16'384;
+/// Connections without a complete request for this long are closed.
+static constexpr duration IdleTimeout = std::chrono::seconds(15);
 
 static std::string percentDecode(std::string_view Text) {
   std::string Decoded;
@@ -39,12 +39,12 @@
   return {};
 }
 
-/// One connection of a small server.
+/// A client connection of a small_server.
 class small_connection : private stream_owner {
 public:
   small_connection(small_server &Server, event_loop &Loop)
       : Server(Server), Loop(Loop), Stream(Loop, *this),
-        Reader(message_kind::Request, MaxHead) {}
+        Reader(message_kind::Request, MaxHeadBytes) {}
   ~small_connection() override { Loop.cancel(IdleTimer); }
 
   bool open(int Descriptor) {
@@ -55,15 +55,15 @@
 private:
   void restartIdleTimer() {
     Loop.cancel(IdleTimer);
-    IdleTimer = Loop.after(IdleTime, [this] { leave(); });
+    IdleTimer = Loop.after(IdleTimeout, [this] { closeIdle(); });
   }
 
-  void leave() {
+  void closeIdle() {
     Stream.close();
-    Server.retire(*this);
+    Server.removeConnection(*this);
   }
 
-  void onEnd(stream_end /*End*/) override { Server.retire(*this); }
+  void onEnd(stream_end /*Reason*/) override { Server.removeConnection(*this); }
 
   void onBytes(std::string_view Bytes) override {
     while (!Bytes.empty() && Stream.isOpen()) {
@@ -75,35 +75,35 @@
         return;
       case read_state::Malformed:
       case read_state::HeadTooLarge:
-        answer({400, "application/json", "{}"}, /*Keep=*/false);
+        respond({400, "application/json", "{}"}, /*KeepAlive=*/false);
         return;
       case read_state::Complete:
-        answerRequest();
+        handleRequest();
         Reader.reset();
       }
     }
   }
 
-  void answerRequest() {
+  void handleRequest() {
     const std::string_view Target = Reader.head().target();
     const std::size_t Mark = Target.find('?');
     const std::string_view Query = Mark == std::string_view::npos
                                        ? std::string_view()
                                        : Target.substr(Mark + 1);
-    answer(Server.Handler(Target.substr(0, Mark), Query), Reader.keepsAlive());
+    respond(Server.Handler(Target.substr(0, Mark), Query), Reader.keepsAlive());
   }
 
-  void answer(const small_answer &Answer, bool Keep) {
+  void respond(const small_answer &Response, bool KeepAlive) {
     std::string Text;
-    append(Text, "HTTP/1.1 ", Answer.Status, " ", reasonOf(Answer.Status),
-           "\r\nContent-Type: ", Answer.ContentType,
-           "\r\nContent-Length: ", Answer.Body.size(), "\r\n");
-    if (!Keep)
+    append(Text, "HTTP/1.1 ", Response.Status, " ", reasonOf(Response.Status),
+           "\r\nContent-Type: ", Response.ContentType,
+           "\r\nContent-Length: ", Response.Body.size(), "\r\n");
+    if (!KeepAlive)
       appendField(Text, "Connection", "close");
-    append(Text, "\r\n", Answer.Body);
+    append(Text, "\r\n", Response.Body);
     Stream.write(Text);
     restartIdleTimer();
-    if (!Keep)
+    if (!KeepAlive)
       Stream.endWhenDrained();
   }
 
@@ -116,7 +116,7 @@
 
 small_server::small_server(event_loop &Loop, small_handler Handler)
     : Loop(Loop), Handler(std::move(Handler)) {
-  Loop.atEndOfRound([this] { Retired.clear(); });
+  Loop.atEndOfRound([this] { RemovedConnections.clear(); });
 }
 
 small_server::~small_server() {
@@ -127,7 +127,8 @@
 result<bool> small_server::listen(const endpoint &Endpoint) {
   Listener = TRY(listenAt(Endpoint));
   if (!Loop.watch(Listener, *this))
-    return fail(error_code::Unavailable, "can't watch a listening socket");
+    return fail(error_code::Unavailable,
+                "cannot add the listening socket to epoll");
   return true;
 }
 
@@ -141,15 +142,15 @@
     small_connection *Raw = Connection.get();
     Connections.emplace(Raw, std::move(Connection));
     if (!Raw->open(Descriptor))
-      retire(*Raw);
+      removeConnection(*Raw);
   }
 }
 
-void small_server::retire(small_connection &Connection) {
+void small_server::removeConnection(small_connection &Connection) {
   auto Found = Connections.find(&Connection);
   if (Found == Connections.end())
     return;
-  Retired.push_back(std::move(Found->second));
+  RemovedConnections.push_back(std::move(Found->second));
   Connections.erase(Found);
 }
 
--- a/Libraries/HttpConnection/small_server.h
+++ b/Libraries/HttpConnection/small_server.h
@@ -1,5 +1,5 @@
-/// Serves short answers to requests without bodies: look-ups, readiness and
-/// metrics. Every answer is made at once, from memory.
+/// A minimal HTTP server for requests without bodies: look-ups, readiness and
+/// metrics. Responses are produced synchronously from memory.
 #pragma once
 
 #include "EventLoop/event_loop.h"
@@ -21,11 +21,12 @@
   std::string Body;
 };
 
-/// Makes the answer to a request for \p Path with its raw \p Query.
+/// Returns the response to a request for \p Path with its raw \p Query.
 using small_handler =
     std::function<small_answer(std::string_view Path, std::string_view Query)>;
 
-/// Value of \p Name in a raw query, percent-decoded; empty when absent.
+/// Returns the percent-decoded value of \p Name in a raw query; empty if
+/// absent.
 std::string queryValue(std::string_view Query, std::string_view Name);
 
 class small_connection;
@@ -42,14 +43,14 @@
 private:
   friend class small_connection;
   void onEvent(const io_event &Event) override;
-  void retire(small_connection &Connection);
+  void removeConnection(small_connection &Connection);
 
   event_loop &Loop;
   small_handler Handler;
   int Listener = -1;
   absl::flat_hash_map<small_connection *, std::unique_ptr<small_connection>>
       Connections;
-  std::vector<std::unique_ptr<small_connection>> Retired;
+  std::vector<std::unique_ptr<small_connection>> RemovedConnections;
 };
 
 } // namespace amaranthhoist
