--- a/Libraries/RequestTrace/causes.cpp
+++ b/Libraries/RequestTrace/causes.cpp
@@ -1,4 +1,4 @@
-/// Sentences that tell why a request ended as it did.
+/// Sentences that explain the outcome of a request.
 #include "RequestTrace/request_trace.h"
 #include "Text/text.h"
 
@@ -6,115 +6,123 @@
 
 namespace amaranthhoist {
 
-static std::string inMilliseconds(std::int64_t Microseconds) {
+static std::string formatMilliseconds(std::int64_t Microseconds) {
   return cat(Microseconds / 1'000, " ms");
 }
 
-static std::string describePlace(const log_line &Line, const char *Number) {
-  const std::string Place = cat("place_", Number);
-  const std::string Server = Line.text(Place);
+static std::string describeCandidate(const log_line &Line, const char *Number) {
+  const std::string FieldName = cat("place_", Number);
+  const std::string Server = Line.text(FieldName);
   if (Server.empty())
     return {};
   const std::int64_t Wait = Line.number(cat("wait_", Number, "_us"));
   const std::int64_t Age = Line.number(cat("report_age_", Number, "_us"));
-  return cat(Server, " would have made it wait ", inMilliseconds(Wait),
-             Age < 0 ? std::string(" (it never told its load)")
-                     : cat(" (load told ", inMilliseconds(Age), " before)"));
+  return cat(Server, " had an estimated wait of ", formatMilliseconds(Wait),
+             Age < 0 ? std::string(" (no load report received)")
+                     : cat(" (load report ", formatMilliseconds(Age), " old)"));
 }
 
 static std::string describeRefusal(const log_line &Line) {
-  const std::string Why = Line.text("why");
-  if (Why == "no_room") {
-    std::string Text = cat("refused for lack of room, at most ",
-                           inMilliseconds(Line.number("longest_wait_us")),
-                           " of waiting being allowed");
+  const std::string Reason = Line.text("why");
+  if (Reason == "no_room") {
+    std::string Text =
+        cat("refused: overloaded, no candidate server was within the limit of ",
+            formatMilliseconds(Line.number("longest_wait_us")),
+            " of estimated wait");
     for (const char *Number : {"1", "2"})
-      if (const std::string Place = describePlace(Line, Number); !Place.empty())
-        append(Text, "; ", Place);
+      if (const std::string Candidate = describeCandidate(Line, Number);
+          !Candidate.empty())
+        append(Text, "; ", Candidate);
     return Text;
   }
-  if (Why == "no_target")
-    return "refused: no server of its service could be used";
-  if (Why == "too_late")
-    return "refused: too little time was left to run it";
-  if (Why == "not_configured")
-    return "refused: the node had no configuration yet";
-  if (Why == "no_repeats")
-    return "refused: it was not run, and the budget of repeats was used up";
-  if (Why == "resting")
-    return "refused: the servers of its service had asked for rest";
-  if (Why == "quarantined")
-    return cat("refused: servers crashed under its content, ",
-               Line.text("content"));
-  if (Why == "leaving")
-    return "refused: the node was leaving and could not have ended it in time";
-  return cat("refused: ", Why);
+  if (Reason == "no_target")
+    return "refused: no server of its service was available";
+  if (Reason == "too_late")
+    return "refused: not enough time was left to run it";
+  if (Reason == "not_configured")
+    return "refused: the node had not received a configuration yet";
+  if (Reason == "no_repeats")
+    return "refused: it was not run, and the retry budget was exhausted";
+  if (Reason == "resting")
+    return "refused: the servers of its service had requested backoff";
+  if (Reason == "quarantined")
+    return cat(
+        "refused: quarantined, servers crashed while handling its content, ",
+        Line.text("content"));
+  if (Reason == "leaving")
+    return "refused: the node was shutting down and could not have completed "
+           "it in time";
+  return cat("refused: ", Reason);
 }
 
-static std::string describeEnd(const log_line &Line) {
-  const std::string Why = Line.text("why");
+static std::string describeOutcome(const log_line &Line) {
+  const std::string Reason = Line.text("why");
   const std::string Attempts = Line.text("attempts");
-  const std::string Tried =
+  const std::string AttemptSuffix =
       Attempts.empty() ? std::string() : cat("; attempts: ", Attempts);
   if (Line.Event == "refused")
-    return cat(describeRefusal(Line), Tried);
-  if (Line.Event == "gave_up" && Why == "no_route")
-    return "no route in force leads there";
-  if (Line.Event == "gave_up" && Why == "deadline")
-    return cat("no answer came in the time there was", Tried);
+    return cat(describeRefusal(Line), AttemptSuffix);
+  if (Line.Event == "gave_up" && Reason == "no_route")
+    return "no active route matches it";
+  if (Line.Event == "gave_up" && Reason == "deadline")
+    return cat("no response was received before the deadline", AttemptSuffix);
   if (Line.Event == "gave_up")
-    return cat("a server got it and its answer was lost or unsound; it may "
-               "have run",
-               Tried);
+    return cat(
+        "a server received it and its response was lost or invalid; it may "
+        "have run",
+        AttemptSuffix);
   if (Line.Event == "cancelled")
-    return cat("the caller went away before the answer", Tried);
-  if (Line.Event == "answer_cut" && Why == "process_ended")
-    return cat("the node's process ended before the request did", Tried);
+    return cat("the caller disconnected before the response", AttemptSuffix);
+  if (Line.Event == "answer_cut" && Reason == "process_ended")
+    return cat("the node's process exited before the request completed",
+               AttemptSuffix);
   if (Line.Event == "answer_cut")
-    return cat("the answer broke off on its way: ", Why, Tried);
+    return cat("the response was cut off: ", Reason, AttemptSuffix);
   if (Line.Event == "left_running")
-    return cat("the caller had gone and the node's process ended while a "
-               "server worked on it",
-               Tried);
+    return cat(
+        "the caller had disconnected and the node's process exited while a "
+        "server was processing the request",
+        AttemptSuffix);
   if (Line.Event == "answered")
     return cat("answered by a server with status ", Line.number("status"),
-               Tried);
+               AttemptSuffix);
   return {};
 }
 
-/// What the nodes believed, where it bears on the end.
-static void addBackground(const node_background &Node,
+/// Adds the state of the node that may have influenced the outcome.
+static void addNodeCauses(const node_background &Node,
                           std::vector<std::string> &Causes) {
-  if (Node.StoreIsSilent)
-    Causes.push_back(cat(Node.Instance, " had lost the store"));
-  if (Node.IsLeaving)
-    Causes.push_back(cat(Node.Instance, " was leaving"));
+  if (Node.StoreIsUnreachable)
+    Causes.push_back(cat(Node.Instance, " had lost contact with the store"));
+  if (Node.IsShuttingDown)
+    Causes.push_back(cat(Node.Instance, " was shutting down"));
   for (const std::string &Domain : Node.EvacuatedDomains)
-    Causes.push_back(cat(Node.Instance, " sent nothing to ", Domain,
+    Causes.push_back(cat(Node.Instance, " sent no requests to ", Domain,
                          ", which was evacuated"));
   for (const log_line &Line : Node.ServerLines)
     if (Line.Event == "server_removed" ||
         (Line.Event == "server_listed" && Line.Fields.value("leaving", false)))
-      Causes.push_back(cat(Line.text("server"), Line.Event == "server_removed"
-                                                    ? " was taken from the list"
-                                                    : " was leaving"));
+      Causes.push_back(
+          cat(Line.text("server"), Line.Event == "server_removed"
+                                       ? " was removed from the target list"
+                                       : " was draining"));
 }
 
 std::vector<std::string> findCauses(const request_trace &Trace) {
   std::vector<std::string> Causes;
   for (auto Line = Trace.Steps.rbegin(); Line != Trace.Steps.rend(); ++Line)
-    if (std::string End = describeEnd(*Line); !End.empty()) {
-      Causes.push_back(std::move(End));
+    if (std::string Outcome = describeOutcome(*Line); !Outcome.empty()) {
+      Causes.push_back(std::move(Outcome));
       break;
     }
   for (const node_background &Node : Trace.Nodes) {
-    // A process that stops in order says so first.
-    const bool IsKilled = Causes.empty() && !Node.ProcessLines.empty() &&
-                          Node.ProcessLines.front().Event == "started";
-    if (IsKilled)
+    // A process that shuts down gracefully logs that first.
+    const bool WasKilled = Causes.empty() && !Node.ProcessLines.empty() &&
+                           Node.ProcessLines.front().Event == "started";
+    if (WasKilled)
       Causes.push_back(cat("the process of ", Node.Instance,
-                           " was killed or crashed and started again"));
-    addBackground(Node, Causes);
+                           " was killed or crashed and was restarted"));
+    addNodeCauses(Node, Causes);
   }
   return Causes;
 }
--- a/Libraries/RequestTrace/request_trace.cpp
+++ b/Libraries/RequestTrace/request_trace.cpp
@@ -8,12 +8,13 @@
 
 using json = nlohmann::ordered_json;
 
-/// Lines about a server are shown from this long before the request.
+/// Lines about a server are included from this long before the request.
 static constexpr std::int64_t ServerLinesBeforeUs = 10'000'000;
-/// And until this long after: a list may lag.
+/// Lines about a server are included until this long after the request, since
+/// target lists may be updated late.
 static constexpr std::int64_t ServerLinesAfterUs = 3'000'000;
-/// Starts and ends of the process are shown until this long after: somewhat
-/// more than the longest grace period in use.
+/// Starts and exits of the process are included until this long after the
+/// request: slightly more than the longest grace period in use.
 static constexpr std::int64_t ProcessLinesAfterMs = 10'000;
 
 std::string log_line::text(std::string_view Name) const {
@@ -30,7 +31,7 @@
 }
 
 void trace_reader::take(std::string_view Line) {
-  // A tool may have put something before the line.
+  // A log collector may have prefixed the line.
   const std::size_t Start = Line.find('{');
   if (Line.find_first_not_of(" \t\r\n") == std::string_view::npos)
     return;
@@ -39,7 +40,7 @@
                     : json::parse(Line.substr(Start), nullptr, false);
   if (!Fields.is_object() || !Fields.contains("event") ||
       !Fields["event"].is_string()) {
-    ++Unreadable;
+    ++SkippedLines;
     return;
   }
   log_line Parsed;
@@ -48,19 +49,20 @@
   Parsed.Instance = Parsed.text("instance");
   Parsed.TimeMs = Parsed.number("time_ms");
   Parsed.SteadyUs = Parsed.number("steady_us");
-  int &Starts = StartsByInstance[Parsed.Instance];
+  int &StartCount = StartCounts[Parsed.Instance];
   if (Parsed.Event == "started")
-    ++Starts;
-  Parsed.Incarnation = Starts;
+    ++StartCount;
+  Parsed.Incarnation = StartCount;
   const auto Request = Parsed.Fields.find("request");
   if (Request == Parsed.Fields.end())
-    Beliefs.push_back(std::move(Parsed));
+    StateLines.push_back(std::move(Parsed));
   else if (*Request == RequestId)
-    Own.push_back(std::move(Parsed));
+    RequestLines.push_back(std::move(Parsed));
 }
 
-/// Servers that the request's lines name.
-static std::set<std::string> serversOf(const std::vector<log_line> &Steps) {
+/// Returns the servers that are mentioned in the lines of the request.
+static std::set<std::string>
+collectServers(const std::vector<log_line> &Steps) {
   std::set<std::string> Servers;
   for (const log_line &Step : Steps) {
     for (const char *Name : {"server", "place_1", "place_2"})
@@ -78,30 +80,31 @@
   return Servers;
 }
 
-static void setMember(std::vector<std::string> &Names, const std::string &Name,
-                      bool IsIn) {
+static void updateMembership(std::vector<std::string> &Names,
+                             const std::string &Name, bool IsMember) {
   std::erase(Names, Name);
-  if (IsIn)
+  if (IsMember)
     Names.push_back(Name);
 }
 
-/// Follows what a node believed up to the request.
-static void apply(node_background &Node, const log_line &Line,
-                  std::int64_t RequestUs) {
+/// Applies a state change that the node logged before the request.
+static void applyStateChange(node_background &Node, const log_line &Line,
+                             std::int64_t RequestUs) {
   if (Line.Event == "configuration_applied") {
     Node.ConfigurationVersion = Line.number("version");
     Node.ConfigurationAgeUs = RequestUs - Line.SteadyUs;
   } else if (Line.Event == "store_silent") {
-    Node.StoreIsSilent = true;
+    Node.StoreIsUnreachable = true;
   } else if (Line.Event == "store_answers") {
-    Node.StoreIsSilent = false;
+    Node.StoreIsUnreachable = false;
   } else if (Line.Event == "leaving") {
-    Node.IsLeaving = true;
+    Node.IsShuttingDown = true;
   } else if (Line.Event == "peer_lost" || Line.Event == "peer_back") {
-    setMember(Node.LostPeers, Line.text("peer"), Line.Event == "peer_lost");
+    updateMembership(Node.UnreachablePeers, Line.text("peer"),
+                     Line.Event == "peer_lost");
   } else if (Line.Event == "domain_evacuated" || Line.Event == "domain_back") {
-    setMember(Node.EvacuatedDomains, Line.text("failure_domain"),
-              Line.Event == "domain_evacuated");
+    updateMembership(Node.EvacuatedDomains, Line.text("failure_domain"),
+                     Line.Event == "domain_evacuated");
   }
 }
 
@@ -111,31 +114,31 @@
   return std::find(Events.begin(), Events.end(), Line.Event) != Events.end();
 }
 
-static node_background backgroundOf(const trace_reader &Reader,
-                                    const std::string &Instance,
-                                    const request_trace &Trace,
-                                    const std::set<std::string> &Servers) {
+static node_background buildNodeContext(const trace_reader &Reader,
+                                        const std::string &Instance,
+                                        const request_trace &Trace,
+                                        const std::set<std::string> &Servers) {
   node_background Node;
   Node.Instance = Instance;
   const auto Step = std::find_if(
       Trace.Steps.begin(), Trace.Steps.end(),
       [&](const log_line &Line) { return Line.Instance == Instance; });
-  // The line came at the end of what it tells.
+  // The line was logged at the end of the interval that it describes.
   const std::int64_t RequestUs = Step->SteadyUs - Step->number("took_us");
   for (const log_line &Line : Reader.beliefs()) {
     if (Line.Instance != Instance)
       continue;
-    const std::int64_t SinceMs = Line.TimeMs - Step->TimeMs;
-    if (isProcessLine(Line) && SinceMs > 0 && SinceMs < ProcessLinesAfterMs)
+    const std::int64_t OffsetMs = Line.TimeMs - Step->TimeMs;
+    if (isProcessLine(Line) && OffsetMs > 0 && OffsetMs < ProcessLinesAfterMs)
       Node.ProcessLines.push_back(Line);
-    // Another process knew nothing of what this one believes.
+    // State is not carried over between processes.
     if (Line.Incarnation != Step->Incarnation)
       continue;
-    const std::int64_t SinceUs = Line.SteadyUs - RequestUs;
-    if (SinceUs <= 0)
-      apply(Node, Line, RequestUs);
+    const std::int64_t OffsetUs = Line.SteadyUs - RequestUs;
+    if (OffsetUs <= 0)
+      applyStateChange(Node, Line, RequestUs);
     if (Servers.contains(Line.text("server")) &&
-        SinceUs > -ServerLinesBeforeUs && SinceUs < ServerLinesAfterUs)
+        OffsetUs > -ServerLinesBeforeUs && OffsetUs < ServerLinesAfterUs)
       Node.ServerLines.push_back(Line);
   }
   return Node;
@@ -152,12 +155,12 @@
                        return Left.SteadyUs < Right.SteadyUs;
                      return Left.TimeMs < Right.TimeMs;
                    });
-  const std::set<std::string> Servers = serversOf(Trace.Steps);
+  const std::set<std::string> Servers = collectServers(Trace.Steps);
   std::set<std::string> Instances;
   for (const log_line &Step : Trace.Steps)
     if (Instances.insert(Step.Instance).second)
       Trace.Nodes.push_back(
-          backgroundOf(Reader, Step.Instance, Trace, Servers));
+          buildNodeContext(Reader, Step.Instance, Trace, Servers));
   Trace.Causes = findCauses(Trace);
   return Trace;
 }
--- a/Libraries/RequestTrace/request_trace.h
+++ b/Libraries/RequestTrace/request_trace.h
@@ -1,7 +1,7 @@
-/// Tells the story of one request from the log lines of any number of nodes:
-/// its own lines in order, what each node involved believed at the time, and
-/// the cause of its end as far as the lines show it. Reads text, decides
-/// nothing about requests. Sans-I/O.
+/// Reconstructs one request from the log lines of any number of nodes: the
+/// lines of the request in order, the state of each node involved at the time,
+/// and the cause of its outcome as far as the lines show it. Only reads log
+/// text; takes no part in handling requests and performs no I/O.
 #pragma once
 
 #include "Core/core.h"
@@ -17,78 +17,87 @@
 
 /// One line of a node's log.
 struct log_line {
-  /// Time of day at the node, milliseconds; nodes may differ.
+  /// Wall clock of the node in milliseconds; the clocks of nodes may differ.
   std::int64_t TimeMs = 0;
-  /// The monotonic clock of one process of the node, microseconds: orders the
-  /// lines of that process and no others.
+  /// Monotonic clock of the node's process in microseconds. Comparable only
+  /// among lines of the same process.
   std::int64_t SteadyUs = 0;
-  /// Starts of the node's process that were read before this line.
+  /// Number of starts of the node's process that were read up to this line.
   int Incarnation = 0;
   std::string Instance;
   std::string Event;
   nlohmann::ordered_json Fields;
 
-  /// A field's value; empty, or 0, when the line has none of that type.
+  /// Returns the value of a field; empty or 0 if the line has no such field of
+  /// that type.
   [[nodiscard]] std::string text(std::string_view Name) const;
   [[nodiscard]] std::int64_t number(std::string_view Name) const;
 };
 
-/// What is kept while lines are read: those of the request, and those that tell
-/// what nodes believed or what became of their processes.
+/// Collects log lines: those of one request, and those about the state of nodes
+/// and their processes.
 class trace_reader {
 public:
   explicit trace_reader(std::string RequestId)
       : RequestId(std::move(RequestId)) {}
 
-  /// Takes one line; anything that is no log line is counted and left out.
+  /// Parses one line. Counts and skips anything that is not a log line.
   void take(std::string_view Line);
 
   [[nodiscard]] const std::string &requestId() const { return RequestId; }
-  /// Lines of the request, in the order in which they were read.
-  [[nodiscard]] const std::vector<log_line> &own() const { return Own; }
-  /// Lines about beliefs and processes.
-  [[nodiscard]] const std::vector<log_line> &beliefs() const { return Beliefs; }
-  [[nodiscard]] std::int64_t unreadable() const { return Unreadable; }
+  /// Lines of the request, in the order in which they were added.
+  [[nodiscard]] const std::vector<log_line> &own() const {
+    return RequestLines;
+  }
+  /// Lines about the state of nodes and processes.
+  [[nodiscard]] const std::vector<log_line> &beliefs() const {
+    return StateLines;
+  }
+  [[nodiscard]] std::int64_t unreadable() const { return SkippedLines; }
 
 private:
   std::string RequestId;
-  std::vector<log_line> Own;
-  std::vector<log_line> Beliefs;
-  std::map<std::string, int> StartsByInstance;
-  std::int64_t Unreadable = 0;
+  std::vector<log_line> RequestLines;
+  std::vector<log_line> StateLines;
+  std::map<std::string, int> StartCounts;
+  std::int64_t SkippedLines = 0;
 };
 
-/// What one node believed when the request came to it.
+/// State of one node when the request arrived there.
 struct node_background {
   std::string Instance;
   std::int64_t ConfigurationVersion = 0;
-  /// How long the version was in force, microseconds; -1: not in the logs.
+  /// How long before the request the version was applied, in microseconds; -1
+  /// if the logs do not show it.
   std::int64_t ConfigurationAgeUs = -1;
-  bool StoreIsSilent = false;
-  bool IsLeaving = false;
-  std::vector<std::string> LostPeers;
+  bool StoreIsUnreachable = false;
+  bool IsShuttingDown = false;
+  std::vector<std::string> UnreachablePeers;
   std::vector<std::string> EvacuatedDomains;
-  /// Lines about servers of this request, from shortly before it.
+  /// Lines about the servers of this request, from shortly before it to shortly
+  /// after it.
   std::vector<log_line> ServerLines;
-  /// The process stopped or was started again while the request ran.
+  /// Lines that show that the process stopped or was restarted while the
+  /// request ran.
   std::vector<log_line> ProcessLines;
 };
 
 struct request_trace {
   std::string RequestId;
-  /// By time of day, those of one node in its own order.
+  /// Ordered by wall clock; lines of one process by its monotonic clock.
   std::vector<log_line> Steps;
   std::vector<node_background> Nodes;
-  /// Sentences, the likeliest cause first.
+  /// Sentences for operators, the most likely cause first.
   std::vector<std::string> Causes;
 };
 
 request_trace makeTrace(const trace_reader &Reader);
 
-/// Why the request ended as it did, from its steps and its nodes' beliefs.
+/// Derives the causes of the request's outcome from its steps and the state of
+/// its nodes.
 std::vector<std::string> findCauses(const request_trace &Trace);
 
-/// The trace as text for a person.
+/// Formats the trace as text for operators.
 std::string describe(const request_trace &Trace);
 
 } // namespace amaranthhoist
--- a/Tests/NodeProcesses/explain_test.cpp
+++ b/Tests/NodeProcesses/explain_test.cpp
@@ -58,9 +58,9 @@
   const std::string Id = cat("id-", Refused - Calls.begin());
   CHECK(waitForCause(Fleet, Id));
   const request_trace Trace = explain(Fleet, Id);
-  CHECK(says(Trace, "refused for lack of room"));
-  CHECK(says(Trace, "s1 would have made it wait"));
-  CHECK(says(Trace, "s2 would have made it wait"));
+  CHECK(says(Trace, "refused: overloaded"));
+  CHECK(says(Trace, "s1 had an estimated wait of"));
+  CHECK(says(Trace, "s2 had an estimated wait of"));
   LONGS_EQUAL(1, Trace.Nodes[0].ConfigurationVersion);
 }
 
@@ -70,7 +70,7 @@
   LONGS_EQUAL(502, Fleet.ask(*Fleet.Node, "/once/x", "id-1", "POST").Status);
   CHECK(waitForCause(Fleet, "id-1"));
   const request_trace Trace = explain(Fleet, "id-1");
-  CHECK(says(Trace, "its answer was lost or unsound; it may have run"));
+  CHECK(says(Trace, "its response was lost or invalid; it may have run"));
   CHECK(says(Trace, "failed after"));
 }
 
@@ -87,7 +87,7 @@
   CHECK(Fleet.runUntil([&] { return Fleet.hasEnded(*Fleet.Node); }));
   CHECK(waitForCause(Fleet, "id-1"));
   const request_trace Trace = explain(Fleet, "id-1");
-  CHECK(says(Trace, "the node's process ended before the request did"));
+  CHECK(says(Trace, "the node's process exited before the request completed"));
   CHECK(says(Trace, "under_way after"));
 }
 
--- a/Tests/request_trace_test.cpp
+++ b/Tests/request_trace_test.cpp
@@ -1,5 +1,5 @@
-// The story of a request from log lines of several nodes, as an operator on
-// call gets it.
+// Tests that a request is reconstructed from the log lines of several nodes, as
+// `amaranthhoist explain` shows it to operators.
 
 #include "RequestTrace/request_trace.h"
 
@@ -9,21 +9,21 @@
 
 namespace {
 
-request_trace traceOf(const std::string &Id,
-                      std::initializer_list<std::string_view> Lines) {
+request_trace buildTrace(const std::string &Id,
+                         std::initializer_list<std::string_view> Lines) {
   trace_reader Reader(Id);
   for (std::string_view Line : Lines)
     Reader.take(Line);
   return makeTrace(Reader);
 }
 
-bool says(const request_trace &Trace, std::string_view Text) {
+bool mentions(const request_trace &Trace, std::string_view Text) {
   return describe(Trace).find(Text) != std::string::npos;
 }
 
-constexpr std::string_view Started =
+constexpr std::string_view StartedLine =
     R"({"time_ms":1000,"steady_us":0,"instance":"n1","event":"started"})";
-constexpr std::string_view Version7 =
+constexpr std::string_view Version7Line =
     R"({"time_ms":1500,"steady_us":500000,"instance":"n1","event":"configuration_applied","version":7})";
 
 } // namespace
@@ -32,56 +32,58 @@
 TEST_GROUP(RequestTrace) {};
 // clang-format on
 
-TEST(RequestTrace, ARefusalNamesItsPlacesAndTheAgeOfWhatItKnew) {
-  const auto Trace = traceOf(
+TEST(RequestTrace, RefusalShowsCandidatesAndLoadReportAge) {
+  const auto Trace = buildTrace(
       "r1",
-      {Started, Version7,
+      {StartedLine, Version7Line,
        R"({"time_ms":2500,"steady_us":1500000,"instance":"n1","event":"refused","request":"r1","why":"no_room","took_us":100000,"longest_wait_us":400000,"place_1":"s1","wait_1_us":900000,"report_age_1_us":20000,"place_2":"s2","wait_2_us":700000,"report_age_2_us":-1})"});
-  CHECK(says(Trace, "s1 would have made it wait 900 ms (load told 20 ms"));
-  CHECK(says(Trace, "s2 would have made it wait 700 ms (it never told"));
+  CHECK(
+      mentions(Trace, "s1 had an estimated wait of 900 ms (load report 20 ms"));
+  CHECK(mentions(Trace, "s2 had an estimated wait of 700 ms (no load report"));
   LONGS_EQUAL(7, Trace.Nodes[0].ConfigurationVersion);
-  // From the moment at which the request came, not the one of its line.
+  // Relative to the arrival of the request, not to the time of its log line.
   LONGS_EQUAL(900'000, Trace.Nodes[0].ConfigurationAgeUs);
 }
 
-TEST(RequestTrace, ARefusalForAQuarantineNamesTheContent) {
-  const auto Trace = traceOf(
+TEST(RequestTrace, QuarantineRefusalShowsContent) {
+  const auto Trace = buildTrace(
       "r1",
-      {Started,
+      {StartedLine,
        R"({"time_ms":2500,"steady_us":1500000,"instance":"n1","event":"refused","request":"r1","content":"00000000000000c7","why":"quarantined"})"});
-  CHECK(says(Trace, "servers crashed under its content, 00000000000000c7"));
+  CHECK(mentions(
+      Trace, "servers crashed while handling its content, 00000000000000c7"));
 }
 
-TEST(RequestTrace, LinesOfOtherRequestsAndForeignTextAreLeftOut) {
+TEST(RequestTrace, SkipsOtherRequestsAndInvalidLines) {
   trace_reader Reader("r1");
   Reader.take("  12.3 n1 noise");
   Reader.take("{broken");
   Reader.take("");
   Reader.take(R"({"no":"event"})");
   Reader.take(R"({"event":"refused","request":"r2"})");
-  // A collector may put its own time before the line.
+  // A log collector may prefix the line with its own time.
   Reader.take(R"(12.5 n1 {"event":"answered","request":"r1","status":200})");
   LONGS_EQUAL(1, Reader.own().size());
   LONGS_EQUAL(3, Reader.unreadable());
 }
 
-// Symptom: a request is said to have met a configuration in force for a day.
-// Sequence: the node's process is killed and started again after the request;
-// its clock starts anew, so that its later lines look earlier. Cause: comparing
-// the clocks of two processes.
-TEST(RequestTrace, BeliefsOfALaterProcessDontCount) {
-  const auto Trace = traceOf(
+// Guards against comparing the monotonic clocks of two processes. When the
+// node's process is killed and restarted after the request, its clock starts
+// again, so that later lines look earlier; the request then appears to have
+// used a configuration that had been applied for a day.
+TEST(RequestTrace, IgnoresStateOfLaterProcess) {
+  const auto Trace = buildTrace(
       "r1",
-      {Started, Version7,
+      {StartedLine, Version7Line,
        R"({"time_ms":2500,"steady_us":1500000,"instance":"n1","event":"sent","request":"r1","server":"s1"})",
        R"({"time_ms":4000,"steady_us":10,"instance":"n1","event":"started"})",
        R"({"time_ms":4100,"steady_us":90000,"instance":"n1","event":"configuration_applied","version":9})"});
   LONGS_EQUAL(7, Trace.Nodes[0].ConfigurationVersion);
-  CHECK(says(Trace, "n1 was killed or crashed and started again"));
+  CHECK(mentions(Trace, "n1 was killed or crashed and was restarted"));
 }
 
-TEST(RequestTrace, StepsOfSeveralNodesAreInOrderWhateverWasReadFirst) {
-  const auto Trace = traceOf(
+TEST(RequestTrace, OrdersStepsOfSeveralNodes) {
+  const auto Trace = buildTrace(
       "r1",
       {R"({"time_ms":3000,"steady_us":5,"instance":"n2","event":"answered","request":"r1","status":200})",
        R"({"time_ms":2000,"steady_us":900,"instance":"n1","event":"refused","request":"r1","why":"leaving"})",
@@ -92,20 +94,20 @@
   LONGS_EQUAL(2, Trace.Nodes.size());
 }
 
-TEST(RequestTrace, WhatBecameOfAServerOfAnAttemptIsShown) {
-  const auto Trace = traceOf(
+TEST(RequestTrace, ShowsStateChangesOfAttemptedServers) {
+  const auto Trace = buildTrace(
       "r1",
-      {Started,
+      {StartedLine,
        R"({"time_ms":1900,"steady_us":900000,"instance":"n1","event":"store_silent"})",
        R"({"time_ms":2500,"steady_us":1500000,"instance":"n1","event":"gave_up","request":"r1","why":"attempt_failed","status":502,"attempts":"s1 +0ms unreachable after 250ms; s2 +250ms failed after 9ms","took_us":260000})",
        R"({"time_ms":2600,"steady_us":1600000,"instance":"n1","event":"server_removed","server":"s2"})"});
-  CHECK(says(Trace, "answer was lost or unsound; it may have run"));
-  CHECK(says(Trace, "s2 was taken from the list"));
-  CHECK(says(Trace, "n1 had lost the store"));
+  CHECK(mentions(Trace, "response was lost or invalid; it may have run"));
+  CHECK(mentions(Trace, "s2 was removed from the target list"));
+  CHECK(mentions(Trace, "n1 had lost contact with the store"));
 }
 
-TEST(RequestTrace, ARequestWithoutLinesIsSaidToBeSo) {
-  const auto Trace = traceOf("r1", {Started, Version7});
+TEST(RequestTrace, ReportsRequestWithoutLines) {
+  const auto Trace = buildTrace("r1", {StartedLine, Version7Line});
   CHECK(Trace.Steps.empty());
-  CHECK(says(Trace, "no line names it"));
+  CHECK(mentions(Trace, "no log line mentions it"));
 }
