--- a/Libraries/EventLog/event_log.cpp
+++ b/Libraries/EventLog/event_log.cpp
@@ -8,14 +8,15 @@
 
 namespace amaranthhoist {
 
-/// Lines a second of each kind. Troubles and beliefs together fit a reader's
-/// day; successes are a sample, since metrics count them all.
-static constexpr std::array<std::uint32_t, LogKinds> Bounds = {50, 200, 100, 5,
-                                                               5};
+/// Maximum lines per second of each kind. Request failures and changes of
+/// cluster state together stay within a volume that can be read; successes are
+/// only sampled, since metrics count all of them.
+static constexpr std::array<std::uint32_t, LogKinds> LinesPerSecond = {
+    50, 200, 100, 5, 5};
 static constexpr std::array<std::string_view, LogKinds> KindNames = {
     "process", "belief", "trouble", "success", "attempt"};
-/// Lines held before they are handed on, in bytes.
-static constexpr std::size_t FlushAt = 8'192;
+/// Size of the buffer in bytes at which it is flushed.
+static constexpr std::size_t FlushThreshold = 8'192;
 
 event_log::event_log(int Descriptor, std::string_view Identity)
     : Descriptor(Descriptor), Identity(Identity) {
@@ -24,35 +25,35 @@
     fcntl(Descriptor, F_SETFL, Flags | O_NONBLOCK);
 }
 
-bool event_log::hasRoom(log_kind Kind, instant Now) {
+bool event_log::isWithinLimit(log_kind Kind, instant Now) {
   const auto Index = static_cast<std::size_t>(Kind);
   const std::int64_t NowSecond =
       std::chrono::duration_cast<std::chrono::seconds>(Now.time_since_epoch())
           .count();
-  if (NowSecond != Second) {
-    Second = NowSecond;
-    Written.fill(0);
-    tellLeftOut(Now);
+  if (NowSecond != CurrentSecond) {
+    CurrentSecond = NowSecond;
+    WrittenThisSecond.fill(0);
+    logSuppressedLines(Now);
   }
-  return Written[Index] < Bounds[Index];
+  return WrittenThisSecond[Index] < LinesPerSecond[Index];
 }
 
 bool event_log::wouldWrite(log_kind Kind, instant Now) {
-  if (hasRoom(Kind, Now))
+  if (isWithinLimit(Kind, Now))
     return true;
-  ++LeftOut[static_cast<std::size_t>(Kind)];
+  ++Suppressed[static_cast<std::size_t>(Kind)];
   return false;
 }
 
-void event_log::tellLeftOut(instant Now) {
+void event_log::logSuppressedLines(instant Now) {
   for (std::size_t Index = 0; Index < LogKinds; ++Index) {
-    if (LeftOut[Index] == 0)
+    if (Suppressed[Index] == 0)
       continue;
     const std::array<log_entry, 2> Fields = {
         {{"kind", KindNames[Index]},
-         {"lines", static_cast<std::int64_t>(LeftOut[Index])}}};
+         {"lines", static_cast<std::int64_t>(Suppressed[Index])}}};
     append("lines_left_out", Fields, Now);
-    LeftOut[Index] = 0;
+    Suppressed[Index] = 0;
   }
 }
 
@@ -103,22 +104,25 @@
                       std::span<const log_entry> Fields, instant Now) {
   if (!wouldWrite(Kind, Now))
     return;
-  ++Written[static_cast<std::size_t>(Kind)];
+  ++WrittenThisSecond[static_cast<std::size_t>(Kind)];
   append(Event, Fields, Now);
-  if (Buffer.size() >= FlushAt)
+  if (Buffer.size() >= FlushThreshold)
     flush();
 }
 
 void event_log::flush() {
   if (Buffer.empty())
     return;
-  const ssize_t Taken = ::write(Descriptor, Buffer.data(), Buffer.size());
-  // A full pipe takes a part or nothing. The rest is dropped, whole lines of
-  // it are counted, and the torn one ends here, so that readers stay in step.
-  if (Taken < static_cast<ssize_t>(Buffer.size())) {
-    const std::size_t From = Taken > 0 ? static_cast<std::size_t>(Taken) : 0;
+  const ssize_t WrittenBytes =
+      ::write(Descriptor, Buffer.data(), Buffer.size());
+  // A full pipe accepts a part or nothing. The rest is dropped and its lines
+  // are counted. A truncated line is ended with a newline, so that the next
+  // line starts where readers expect it.
+  if (WrittenBytes < static_cast<ssize_t>(Buffer.size())) {
+    const std::size_t From =
+        WrittenBytes > 0 ? static_cast<std::size_t>(WrittenBytes) : 0;
     for (std::size_t At = From; At < Buffer.size(); ++At)
-      Dropped += Buffer[At] == '\n' ? 1 : 0;
+      DroppedLines += Buffer[At] == '\n' ? 1 : 0;
     Buffer = From > 0 ? "\n" : "";
     return;
   }
--- a/Libraries/EventLog/event_log.h
+++ b/Libraries/EventLog/event_log.h
@@ -1,9 +1,9 @@
-/// Structured log of a node: JSON lines on a file descriptor, never blocking.
-/// Lines of each kind are bounded per second, so that a flood of one kind can't
-/// hide another or cost the work its processor time; what was left out is
-/// counted and told. Failures and changes of belief have far higher bounds than
-/// successes. A library logger blocks on a full pipe, or costs a thread; hence
-/// this small one.
+/// Structured, non-blocking log of a node: JSON lines on a file descriptor.
+/// Lines of each kind are limited per second, so that a flood of one kind can
+/// neither hide another nor take processor time from requests; suppressed lines
+/// are counted and their number is logged. Failures and changes of cluster
+/// state have far higher limits than successes. Existing logging libraries
+/// block on a full pipe or need a thread, hence this implementation.
 #pragma once
 
 #include "Core/core.h"
@@ -19,17 +19,18 @@
 
 namespace amaranthhoist {
 
-/// What a line is about. Each kind has its own bound.
+/// The kind of a line. Each kind has its own rate limit.
 enum class log_kind : std::uint8_t {
-  /// Start, stop, reload.
+  /// Process start, stop and reload.
   Process,
-  /// A dependency lost or regained, a version, a server's state, a peer.
+  /// A dependency was lost or restored, or the state of a server, a peer or the
+  /// configuration version changed.
   Belief,
-  /// A request was refused, repeated, given up on, cancelled, or failed.
+  /// A request was refused, retried, abandoned, cancelled, or failed.
   Trouble,
   /// A request was answered.
   Success,
-  /// One attempt at a server, with what decided for it.
+  /// One attempt at a server, with the inputs of the decision.
   Attempt,
 };
 inline constexpr std::size_t LogKinds = 5;
@@ -42,14 +43,14 @@
 
 class event_log {
 public:
-  /// \p Identity goes into every line.
+  /// \p Identity is written into every line as the instance.
   event_log(int Descriptor, std::string_view Identity);
 
-  /// Whether a line of that kind would be taken in now. False counts it as left
-  /// out: for lines whose fields cost something to make.
+  /// Whether the rate limit allows a line of this kind now. If not, counts the
+  /// line as suppressed. For lines whose fields are expensive to compute.
   [[nodiscard]] bool wouldWrite(log_kind Kind, instant Now);
 
-  /// Adds a line. \p Event names what happened, in snake case.
+  /// Appends a line to the buffer. \p Event is the event name in snake case.
   void write(log_kind Kind, std::string_view Event,
              std::span<const log_entry> Fields, instant Now);
   void write(log_kind Kind, std::string_view Event,
@@ -57,24 +58,25 @@
     write(Kind, Event, std::span(Fields.begin(), Fields.size()), Now);
   }
 
-  /// Hands the lines to the kernel; drops and counts those it doesn't take.
+  /// Writes the buffered lines to the descriptor. Drops and counts those that
+  /// the kernel does not accept.
   void flush();
 
-  [[nodiscard]] std::uint64_t dropped() const { return Dropped; }
+  [[nodiscard]] std::uint64_t dropped() const { return DroppedLines; }
 
 private:
-  bool hasRoom(log_kind Kind, instant Now);
-  void tellLeftOut(instant Now);
+  bool isWithinLimit(log_kind Kind, instant Now);
+  void logSuppressedLines(instant Now);
   void append(std::string_view Event, std::span<const log_entry> Fields,
               instant Now);
 
   int Descriptor;
   std::string Identity;
   std::string Buffer;
-  std::array<std::uint32_t, LogKinds> Written{};
-  std::array<std::uint32_t, LogKinds> LeftOut{};
-  std::int64_t Second = 0;
-  std::uint64_t Dropped = 0;
+  std::array<std::uint32_t, LogKinds> WrittenThisSecond{};
+  std::array<std::uint32_t, LogKinds> Suppressed{};
+  std::int64_t CurrentSecond = 0;
+  std::uint64_t DroppedLines = 0;
 };
 
 } // namespace amaranthhoist
