--- a/Libraries/Text/text.cpp
+++ b/Libraries/Text/text.cpp
@@ -23,7 +23,7 @@
   return Value;
 }
 
-static char lower(char Character) {
+static char toLowerAscii(char Character) {
   return Character >= 'A' && Character <= 'Z'
              ? static_cast<char>(Character - 'A' + 'a')
              : Character;
@@ -31,13 +31,14 @@
 
 bool equalsIgnoringCase(std::string_view Left, std::string_view Right) {
   return Left.size() == Right.size() &&
-         std::equal(Left.begin(), Left.end(), Right.begin(),
-                    [](char A, char B) { return lower(A) == lower(B); });
+         std::equal(
+             Left.begin(), Left.end(), Right.begin(),
+             [](char A, char B) { return toLowerAscii(A) == toLowerAscii(B); });
 }
 
 std::string toLower(std::string_view Text) {
   std::string Result(Text);
-  std::transform(Result.begin(), Result.end(), Result.begin(), lower);
+  std::transform(Result.begin(), Result.end(), Result.begin(), toLowerAscii);
   return Result;
 }
 
--- a/Libraries/Text/text.h
+++ b/Libraries/Text/text.h
@@ -1,6 +1,6 @@
-/// Small operations on text for the whole of the node. Debian builds Abseil
-/// with a string view of its own that std::string_view doesn't convert to,
-/// hence these few over the standard library.
+/// String helpers for the whole node. Debian builds Abseil with its own
+/// string_view type, to which std::string_view does not convert, so these are
+/// based on the standard library instead.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -30,23 +30,24 @@
   Text.append(Digits.data(), End.ptr);
 }
 
-/// Adds texts and numbers to \p Text.
+/// Appends strings and numbers to \p Text.
 template <typename... Pieces>
 void append(std::string &Text, const Pieces &...Values) {
   (appendPiece(Text, Values), ...);
 }
 
-/// Texts and numbers, joined.
+/// Concatenates strings and numbers.
 template <typename... Pieces> std::string cat(const Pieces &...Values) {
   std::string Text;
   append(Text, Values...);
   return Text;
 }
 
-/// Adds \p Value in hexadecimal, with at least \p Digits digits.
+/// Appends \p Value in hexadecimal, padded with zeros to at least \p Digits
+/// digits.
 void appendHex(std::string &Text, std::uint64_t Value, std::size_t Digits = 1);
 
-/// The whole of \p Text as a number; none when it is anything else.
+/// Parses all of \p Text as a number; returns none if that fails.
 template <typename Number>
 std::optional<Number> parseNumber(std::string_view Text) {
   Number Value{};
@@ -56,20 +57,22 @@
     return std::nullopt;
   return Value;
 }
-/// Likewise in hexadecimal.
+/// Parses all of \p Text as a hexadecimal number; returns none if that fails.
 std::optional<std::uint64_t> parseHex(std::string_view Text);
 
-/// ASCII only.
+/// Compares strings ignoring the case of ASCII letters.
 bool equalsIgnoringCase(std::string_view Left, std::string_view Right);
+/// Converts ASCII letters to lower case.
 std::string toLower(std::string_view Text);
 
-/// Without white space at both ends.
+/// Removes white space from both ends.
 std::string_view strip(std::string_view Text);
 std::vector<std::string_view> split(std::string_view Text, char Separator);
-/// Removes \p Suffix from the end of \p Text; whether it was there.
+/// Removes \p Suffix from the end of \p Text. Returns whether it was present.
 bool consumeSuffix(std::string_view &Text, std::string_view Suffix);
 
-/// Lets maps by std::string be asked with any kind of text.
+/// Transparent hash, which allows look-ups by any string type in maps with
+/// std::string keys.
 struct text_hash {
   using is_transparent = void;
   std::size_t operator()(std::string_view Text) const {
