--- a/Libraries/Metrics/metrics.cpp
+++ b/Libraries/Metrics/metrics.cpp
@@ -13,8 +13,8 @@
     : Statistics(acc::extended_p_square_probabilities = Quantiles) {}
 
 void metrics_registry::observeLatency(const latency_labels &Labels,
-                                      duration Took) {
-  const double Seconds = std::chrono::duration<double>(Took).count();
+                                      duration Elapsed) {
+  const double Seconds = std::chrono::duration<double>(Elapsed).count();
   shard &Shard = Shards[stableHash(Labels.Customer) % Shards.size()];
   const std::lock_guard Guard(Shard.Lock);
   latency_labels Key = Labels;
@@ -24,14 +24,14 @@
   if (!Series)
     Series = std::make_unique<series>();
   Series->Statistics(Seconds);
-  for (std::size_t Place = 0; Place < LatencyBounds.size(); ++Place)
-    if (Seconds <= LatencyBounds[Place])
-      ++Series->Buckets[Place];
+  for (std::size_t Bucket = 0; Bucket < LatencyBounds.size(); ++Bucket)
+    if (Seconds <= LatencyBounds[Bucket])
+      ++Series->Buckets[Bucket];
 }
 
-void metrics_registry::count(const std::string &Name, std::int64_t By) {
+void metrics_registry::count(const std::string &Name, std::int64_t Increment) {
   const std::lock_guard Guard(CounterLock);
-  Counters[Name] += By;
+  Counters[Name] += Increment;
 }
 
 void metrics_registry::countAttempt(const attempt_labels &Labels) {
@@ -40,9 +40,9 @@
 }
 
 void metrics_registry::gauge(const std::string &Name,
-                             std::function<double()> Read) {
+                             std::function<double()> ReadValue) {
   const std::lock_guard Guard(CounterLock);
-  Gauges[Name] = std::move(Read);
+  Gauges[Name] = std::move(ReadValue);
 }
 
 static std::string escapeLabel(const std::string &Value) {
@@ -50,16 +50,17 @@
                              {{"\\", "\\\\"}, {"\"", "\\\""}, {"\n", "\\n"}});
 }
 
-void metrics_registry::exposeSeries(const latency_labels &Labels,
+void metrics_registry::formatSeries(const latency_labels &Labels,
                                     const series &Series,
                                     std::string &Text) const {
   const std::string Common = absl::StrCat(
       "customer=\"", escapeLabel(Labels.Customer), "\",service=\"",
       escapeLabel(Labels.Service), "\",outcome=\"", Labels.Outcome, "\"");
   const char *Name = "amaranthhoist_request_seconds";
-  for (std::size_t Place = 0; Place < LatencyBounds.size(); ++Place)
+  for (std::size_t Bucket = 0; Bucket < LatencyBounds.size(); ++Bucket)
     absl::StrAppend(&Text, Name, "_bucket{", Common, ",le=\"",
-                    LatencyBounds[Place], "\"} ", Series.Buckets[Place], "\n");
+                    LatencyBounds[Bucket], "\"} ", Series.Buckets[Bucket],
+                    "\n");
   const auto Count = acc::count(Series.Statistics);
   absl::StrAppend(&Text, Name, "_bucket{", Common, ",le=\"+Inf\"} ", Count,
                   "\n");
@@ -75,7 +76,7 @@
         "\n");
 }
 
-void metrics_registry::exposeAttempts(std::string &Text) const {
+void metrics_registry::formatAttempts(std::string &Text) const {
   if (Attempts.empty())
     return;
   const char *Name = "amaranthhoist_attempts_total";
@@ -92,15 +93,15 @@
   for (const shard &Shard : Shards) {
     const std::lock_guard Guard(Shard.Lock);
     for (const auto &[Labels, Series] : Shard.Series)
-      exposeSeries(Labels, *Series, Text);
+      formatSeries(Labels, *Series, Text);
   }
   const std::lock_guard Guard(CounterLock);
   for (const auto &[Name, Value] : Counters)
     absl::StrAppend(&Text, "# TYPE ", Name, " counter\n", Name, " ", Value,
                     "\n");
-  exposeAttempts(Text);
-  for (const auto &[Name, Read] : Gauges)
-    absl::StrAppend(&Text, "# TYPE ", Name, " gauge\n", Name, " ", Read(),
+  formatAttempts(Text);
+  for (const auto &[Name, ReadValue] : Gauges)
+    absl::StrAppend(&Text, "# TYPE ", Name, " gauge\n", Name, " ", ReadValue(),
                     "\n");
   return Text;
 }
--- a/Libraries/Metrics/metrics.h
+++ b/Libraries/Metrics/metrics.h
@@ -1,6 +1,7 @@
-/// Counters, and latency histograms per customer and class, in the usual text
-/// format. The statistics are Boost.Accumulators'. No Debian package offers the
-/// exposition for C++, so the few lines of format are here.
+/// Counters, gauges, and latency histograms per customer, service and outcome,
+/// in the Prometheus text exposition format. Boost.Accumulators computes the
+/// statistics. No Debian package provides the exposition format for C++, so it
+/// is implemented here.
 #pragma once
 
 #include "Core/core.h"
@@ -23,11 +24,11 @@
 
 namespace amaranthhoist {
 
-/// Upper bounds of the histogram's buckets, in seconds.
+/// Upper bounds of the histogram buckets in seconds.
 inline constexpr std::array<double, 14> LatencyBounds = {
     0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10};
 
-/// Labels of one histogram.
+/// Labels of one latency histogram.
 struct latency_labels {
   std::string Customer;
   std::string Service;
@@ -38,14 +39,14 @@
   }
 };
 
-/// Labels of a counter of attempts at backend servers.
+/// Labels of one counter of attempts at backend servers.
 struct attempt_labels {
-  /// The backend server's.
+  /// The region of the backend server.
   std::string Region;
-  /// On a connection that was open already; a new one takes two crossings more
-  /// before the server has the request.
+  /// The attempt reused an open connection. A new connection needs two more
+  /// network crossings before the server receives the request.
   bool IsOnKeptConnection = false;
-  /// Not the first attempt for its request.
+  /// The attempt is not the first one of its request.
   bool IsRepeat = false;
   bool operator<(const attempt_labels &Other) const {
     return std::tie(Region, IsOnKeptConnection, IsRepeat) <
@@ -53,20 +54,22 @@
   }
 };
 
-/// All metrics of one process. Sharded by customer, each shard with its own
-/// lock.
+/// All metrics of one process. Latency series are sharded by customer, and each
+/// shard has its own lock.
 class metrics_registry {
 public:
-  /// Customers beyond this many share one label, so that memory is bounded.
+  /// Bounds memory: once a shard has this many series, new series are recorded
+  /// under the shared customer label "(others)".
   static constexpr std::size_t MaxSeriesPerShard = 4'000;
 
-  void observeLatency(const latency_labels &Labels, duration Took);
-  void count(const std::string &Name, std::int64_t By = 1);
+  void observeLatency(const latency_labels &Labels, duration Elapsed);
+  void count(const std::string &Name, std::int64_t Increment = 1);
   void countAttempt(const attempt_labels &Labels);
-  /// Calls \p Read for a gauge's value at each exposition.
-  void gauge(const std::string &Name, std::function<double()> Read);
+  /// Registers a gauge whose value is read from \p ReadValue at each
+  /// exposition.
+  void gauge(const std::string &Name, std::function<double()> ReadValue);
 
-  /// Everything in the text exposition format.
+  /// Formats all metrics in the text exposition format.
   std::string expose() const;
 
 private:
@@ -87,9 +90,9 @@
     std::map<latency_labels, std::unique_ptr<series>> Series;
   };
 
-  void exposeSeries(const latency_labels &Labels, const series &Series,
+  void formatSeries(const latency_labels &Labels, const series &Series,
                     std::string &Text) const;
-  void exposeAttempts(std::string &Text) const;
+  void formatAttempts(std::string &Text) const;
 
   std::array<shard, 16> Shards;
   mutable std::mutex CounterLock;
--- a/Tests/metrics_test.cpp
+++ b/Tests/metrics_test.cpp
@@ -1,4 +1,4 @@
-// What operators read from the metrics address.
+// Tests the text that operators scrape from the metrics address.
 
 #include "Metrics/metrics.h"
 
@@ -10,9 +10,9 @@
 TEST_GROUP(Metrics) {};
 // clang-format on
 
-// Work that changes its region can't be told apart by its reason: other
-// decisions, slower ways there, or repeats.
-TEST(Metrics, AttemptsAreCountedByRegionConnectionAndRepeat) {
+// Guards against metrics that do not show why requests move to another region:
+// different routing decisions, slower connections, or retries.
+TEST(Metrics, CountsAttemptsByRegionConnectionAndRetry) {
   metrics_registry Metrics;
   Metrics.countAttempt({"north", false, false});
   Metrics.countAttempt({"north", false, false});
@@ -20,8 +20,8 @@
   const std::string Text = Metrics.expose();
   const char *First = "amaranthhoist_attempts_total{region=\"north\","
                       "connection=\"new\",attempt=\"first\"} 2\n";
-  const char *Repeat = "amaranthhoist_attempts_total{region=\"south\","
-                       "connection=\"kept\",attempt=\"repeat\"} 1\n";
+  const char *Retry = "amaranthhoist_attempts_total{region=\"south\","
+                      "connection=\"kept\",attempt=\"repeat\"} 1\n";
   CHECK(Text.find(First) != std::string::npos);
-  CHECK(Text.find(Repeat) != std::string::npos);
+  CHECK(Text.find(Retry) != std::string::npos);
 }
