--- a/Libraries/Workers/workers.cpp
+++ b/Libraries/Workers/workers.cpp
@@ -6,7 +6,7 @@
   {
     const std::lock_guard Guard(Lock);
     Stopping = true;
-    Changed.notify_all();
+    StateChanged.notify_all();
   }
   for (std::thread &Thread : Threads)
     Thread.join();
@@ -15,17 +15,17 @@
 void worker_pool::submit(std::function<void()> Job) {
   const std::lock_guard Guard(Lock);
   Jobs.push_back(std::move(Job));
-  if (Idle < Jobs.size() && Threads.size() < MaxThreads)
+  if (IdleThreads < Jobs.size() && Threads.size() < MaxThreads)
     Threads.emplace_back([this] { run(); });
-  Changed.notify_one();
+  StateChanged.notify_one();
 }
 
 void worker_pool::run() {
   std::unique_lock Guard(Lock);
   while (true) {
-    ++Idle;
-    Changed.wait(Guard, [this] { return Stopping || !Jobs.empty(); });
-    --Idle;
+    ++IdleThreads;
+    StateChanged.wait(Guard, [this] { return Stopping || !Jobs.empty(); });
+    --IdleThreads;
     if (Jobs.empty())
       return;
     const std::function<void()> Job = std::move(Jobs.front());
--- a/Libraries/Workers/workers.h
+++ b/Libraries/Workers/workers.h
@@ -1,5 +1,5 @@
-/// Threads for blocking calls to backend servers and to the platform, made when
-/// none is free, up to a limit.
+/// A thread pool for blocking calls to backend servers and to the platform.
+/// Threads are created when none is idle, up to a limit.
 #pragma once
 
 #include <condition_variable>
@@ -19,7 +19,7 @@
   worker_pool(const worker_pool &) = delete;
   worker_pool &operator=(const worker_pool &) = delete;
 
-  /// Runs \p Job on a free thread; a new one is made when none is free.
+  /// Queues \p Job. Creates a thread if none is idle and the limit allows it.
   void submit(std::function<void()> Job);
 
 private:
@@ -27,10 +27,10 @@
 
   const std::size_t MaxThreads;
   std::mutex Lock;
-  std::condition_variable Changed;
+  std::condition_variable StateChanged;
   std::deque<std::function<void()>> Jobs;
   std::vector<std::thread> Threads;
-  std::size_t Idle = 0;
+  std::size_t IdleThreads = 0;
   bool Stopping = false;
 };
 
