--- a/Libraries/ControlLink/control_link.cpp
+++ b/Libraries/ControlLink/control_link.cpp
@@ -8,9 +8,9 @@
 namespace amaranthhoist {
 
 static constexpr std::uint32_t PollWaitMs = 2'000;
-static constexpr duration PollLimit = std::chrono::milliseconds(4'000);
-static constexpr duration RetryPause = std::chrono::milliseconds(100);
-static constexpr duration UpdateLimit = std::chrono::milliseconds(5'000);
+static constexpr duration PollTimeout = std::chrono::milliseconds(4'000);
+static constexpr duration RetryDelay = std::chrono::milliseconds(100);
+static constexpr duration UpdateTimeout = std::chrono::milliseconds(5'000);
 
 control_link::control_link(rpc_loop &Loop, std::string Address,
                            link_identity Identity, view_listener Listener)
@@ -30,24 +30,25 @@
   kj::Promise<capnp::Response<wire::Control::ChangesResults>> Call =
       Request.send();
   Loop.keep(
-      Loop.within(PollLimit, kj::mv(Call))
+      Loop.within(PollTimeout, kj::mv(Call))
           .then(
               [this](capnp::Response<wire::Control::ChangesResults> Response)
                   -> kj::Promise<void> {
                 Epoch = Response.getEpoch();
                 Sequence = Response.getSequence();
-                takeIn(Response);
+                applyBatch(Response);
                 poll();
                 return kj::READY_NOW;
               },
               [this](kj::Exception &&) -> kj::Promise<void> {
-                // The control restarts or hangs: what is known stays in force.
+                // The control restarts or does not respond. The current objects
+                // stay in force.
                 Loop.dropPeer(Address);
-                return Loop.after(RetryPause).then([this] { poll(); });
+                return Loop.after(RetryDelay).then([this] { poll(); });
               }));
 }
 
-void control_link::takeIn(wire::Control::ChangesResults::Reader Response) {
+void control_link::applyBatch(wire::Control::ChangesResults::Reader Response) {
   const std::vector<item> Items = readItems(Response.getItems());
   std::set<std::string> Now;
   for (const capnp::Text::Reader Name : Response.getDown())
@@ -74,12 +75,13 @@
 }
 
 void control_link::registerIfNeeded() {
-  if (Identity.Key.empty() || Incarnation != 0 || Writing || Leaving)
+  if (Identity.Key.empty() || Incarnation != 0 || Writing || Unregistering)
     return;
   auto Held = View.Items.find(Identity.Key);
   const std::int64_t Base = Held == View.Items.end() ? 0 : Held->second.Version;
   if (Base != 0 && !Held->second.Deleted) {
-    // The answer to our write may have been lost after it took effect.
+    // The response to this daemon's write may have been lost after the write
+    // took effect.
     const result<daemon_record> Record = parseDaemon(Held->second.Value);
     if (Record && Record->OperationId == Identity.Record.OperationId) {
       Incarnation = Base;
@@ -92,7 +94,7 @@
          [this](update_result Result, std::int64_t Version) {
            Writing = false;
            if (Result != update_result::Written) {
-             // Tried again with the next batch of changes.
+             // Retried with the next batch of changes.
              return;
            }
            Incarnation = Version;
@@ -105,7 +107,7 @@
 
 void control_link::update(const std::string &Key, const std::string &Value,
                           std::int64_t BaseVersion, bool Deleted,
-                          const update_listener &OnAnswer) {
+                          const update_listener &OnResult) {
   auto Request = Loop.peer<wire::Control>(Address).updateRequest();
   Request.setKey(Key);
   Request.setValue(Value);
@@ -114,28 +116,28 @@
   kj::Promise<capnp::Response<wire::Control::UpdateResults>> Call =
       Request.send();
   Loop.keep(
-      Loop.within(UpdateLimit, kj::mv(Call))
+      Loop.within(UpdateTimeout, kj::mv(Call))
           .then(
-              [OnAnswer](capnp::Response<wire::Control::UpdateResults> Answer) {
+              [OnResult](capnp::Response<wire::Control::UpdateResults> Answer) {
                 switch (Answer.getResult()) {
                 case wire::UpdateResult::WRITTEN:
-                  OnAnswer(update_result::Written, Answer.getVersion());
+                  OnResult(update_result::Written, Answer.getVersion());
                   return;
                 case wire::UpdateResult::CONFLICT:
-                  OnAnswer(update_result::Conflict, 0);
+                  OnResult(update_result::Conflict, 0);
                   return;
                 case wire::UpdateResult::UNCERTAIN:
-                  OnAnswer(update_result::Uncertain, 0);
+                  OnResult(update_result::Uncertain, 0);
                   return;
                 }
               },
-              [OnAnswer](kj::Exception &&) {
-                OnAnswer(update_result::Uncertain, 0);
+              [OnResult](kj::Exception &&) {
+                OnResult(update_result::Uncertain, 0);
               }));
 }
 
 void control_link::unregister() {
-  Leaving = true;
+  Unregistering = true;
   if (Identity.Key.empty() || Incarnation == 0)
     return;
   update(Identity.Key, "", Incarnation, true,
--- a/Libraries/ControlLink/control_link.h
+++ b/Libraries/ControlLink/control_link.h
@@ -1,5 +1,5 @@
-/// A daemon's link to the control of its own instance: the stream of objects,
-/// writes to the platform, and the daemon's registration.
+/// Connects a daemon to the control of its instance: receives the stream of
+/// objects, writes to the platform and registers the daemon.
 #pragma once
 
 #include "Objects/objects.h"
@@ -17,9 +17,10 @@
 /// One batch of changes.
 struct view_change {
   const object_view &View;
-  /// What changed; everything after a registration or a restarted control.
+  /// The changed items. Contains all items after a registration or a restart of
+  /// the control.
   const std::vector<item> &Items;
-  /// Daemons that are suspected or down, by object key.
+  /// Object keys of daemons that are suspected or down.
   const std::set<std::string> &Down;
   bool DownChanged = false;
   /// Whether the items include any of \p Kind.
@@ -28,13 +29,14 @@
 
 /// Called on the loop's thread after each batch of changes.
 using view_listener = std::function<void(const view_change &Change)>;
-/// Called on the loop's thread with the answer to a write.
+/// Called on the loop's thread with the result of a write.
 using update_listener =
     std::function<void(update_result Result, std::int64_t Version)>;
 
-/// Who this daemon is, and the key it registers under.
+/// The identity of a daemon and the key under which it registers.
 struct link_identity {
-  /// Key of the daemon's own object; empty: it doesn't register.
+  /// Key of the daemon's own object. An empty key means that the daemon does
+  /// not register.
   std::string Key;
   daemon_record Record;
 };
@@ -44,24 +46,25 @@
   control_link(rpc_loop &Loop, std::string Address, link_identity Identity,
                view_listener Listener);
 
-  /// Begins to follow the control; returns at once.
+  /// Starts polling the control for changes. Returns at once.
   void start();
 
-  /// Sends a conditional update. On the loop's thread only.
+  /// Sends a conditional update. Called on the loop's thread only.
   void update(const std::string &Key, const std::string &Value,
               std::int64_t BaseVersion, bool Deleted,
-              const update_listener &OnAnswer);
+              const update_listener &OnResult);
 
-  /// The incarnation of this daemon, or 0 until it is registered. On the loop's
-  /// thread only.
+  /// Returns the incarnation of this daemon, or 0 until it is registered.
+  /// Called on the loop's thread only.
   std::int64_t incarnation() const { return Incarnation; }
 
-  /// Deletes the daemon's object, so that nobody names it any more.
+  /// Deletes the daemon's object, so that no other process uses the daemon any
+  /// more.
   void unregister();
 
 private:
   void poll();
-  void takeIn(wire::Control::ChangesResults::Reader Response);
+  void applyBatch(wire::Control::ChangesResults::Reader Response);
   void registerIfNeeded();
   void announceAll();
 
@@ -75,7 +78,7 @@
   std::uint64_t Sequence = 0;
   std::int64_t Incarnation = 0;
   bool Writing = false;
-  bool Leaving = false;
+  bool Unregistering = false;
 };
 
 } // namespace amaranthhoist
