--- a/Libraries/ActionQueue/action_queue.h
+++ b/Libraries/ActionQueue/action_queue.h
@@ -1,12 +1,13 @@
-/// What is decided under a lock, on any thread, is carried out on an rpc_loop's
-/// thread in the order of the decisions.
+/// Performs actions, which are decided under a lock on any thread, on an
+/// rpc_loop's thread in the order of the decisions.
 ///
-/// Without it a thread that decides, lets go of the lock and posts what follows
-/// is overtaken by a step on the loop itself, which decides later and acts at
-/// once: a request is cancelled before it is sent, a holder says that it has
-/// left before it has given back what it borrowed. An action that leads to a
-/// further step has the same effect on the actions after it. Both can be seen
-/// as messages at a peer in another order than the state changed.
+/// Without the queue, a thread that decides, releases the lock and posts the
+/// actions can be overtaken by a step on the loop itself, which decides later
+/// and acts at once: a request is cancelled before it is sent, or a holder
+/// reports that it has shut down before it has returned what it borrowed. An
+/// action that triggers a further step has the same effect on the actions after
+/// it. In both cases a peer receives messages in another order than the state
+/// changed.
 #pragma once
 
 #include "Rpc/rpc.h"
@@ -20,7 +21,7 @@
 
 namespace amaranthhoist {
 
-/// Actions of one state that is kept under one lock.
+/// The actions of one state that is protected by one lock.
 template <typename Action> class action_queue {
 public:
   using performer = std::function<void(Action &)>;
@@ -29,18 +30,19 @@
   action_queue(rpc_loop &Loop, performer Perform)
       : Loop(Loop), Perform(std::move(Perform)) {}
 
-  /// Adds what one decision asks for. To be called with the lock held under
-  /// which it was decided: the order of the calls is that of the decisions.
+  /// Appends the actions of one decision. Call this while holding the lock
+  /// under which the decision was made: the order of the calls is the order of
+  /// the decisions.
   void append(std::vector<Action> Actions) {
     const std::lock_guard Guard(Lock);
     for (Action &Next : Actions)
       Waiting.push_back(std::move(Next));
   }
 
-  /// Carries out all that was added, other threads' additions too. Off the
-  /// loop's thread it leaves this to the loop and returns at once; within an
-  /// action, to the call that carries that one out. Not to be called with the
-  /// lock of the decisions held.
+  /// Performs all queued actions, including those of other threads. Off the
+  /// loop's thread it posts the work to the loop and returns at once; within an
+  /// action it leaves the work to the call that performs that action. Do not
+  /// call this while holding the lock of the decisions.
   void drain() {
     if (!Loop.isLoopThread()) {
       Loop.post([this] { drain(); });
@@ -49,14 +51,14 @@
     if (IsDraining)
       return;
     IsDraining = true;
-    // An action that throws leaves the others to the next call.
+    // When an action throws, the remaining actions are left for the next call.
     const auto Ended = kj::defer([this] { IsDraining = false; });
-    while (std::optional<Action> Next = takeFirst())
+    while (std::optional<Action> Next = popFirst())
       Perform(*Next);
   }
 
 private:
-  std::optional<Action> takeFirst() {
+  std::optional<Action> popFirst() {
     const std::lock_guard Guard(Lock);
     if (Waiting.empty())
       return std::nullopt;
@@ -69,7 +71,7 @@
   performer Perform;
   std::mutex Lock;
   std::deque<Action> Waiting;
-  /// The loop's thread only.
+  /// Used on the loop's thread only.
   bool IsDraining = false;
 };
 
--- a/Tests/action_queue_test.cpp
+++ b/Tests/action_queue_test.cpp
@@ -1,4 +1,4 @@
-// The order in which what several threads decide is carried out.
+// Tests the order in which decisions of several threads are performed.
 
 #include "ActionQueue/action_queue.h"
 
@@ -27,11 +27,12 @@
 };
 // clang-format on
 
-// Symptom: messages leave in another order than the state changed. Sequence: a
-// timer's or a worker's thread decides and posts what follows; before the loop
-// comes to that, a step on the loop decides and acts at once. Cause: two ways
-// to the same peers and servers, of which the later one was shorter.
-TEST(ActionQueue, AStepOnTheLoopDoesNotOvertakeAnEarlierOneElsewhere) {
+// Guards against messages that are sent in another order than the state
+// changed. The failure occurs when a timer's or a worker's thread decides and
+// posts its actions, and a step on the loop decides and acts before the loop
+// runs the posted function. Two paths led to the same peers and servers, and
+// the later one was shorter.
+TEST(ActionQueue, LoopStepDoesNotOvertakeEarlierStepOfAnotherThread) {
   Loop->run([this] {
     std::thread([this] {
       Queue.append({1, 2});
@@ -43,9 +44,9 @@
   expect({1, 2, 3});
 }
 
-// The same between the decision and its post: the thread that has decided is
-// held up, and another one's step carries out both.
-TEST(ActionQueue, WhatWasDecidedFirstComesFirstHoweverLateItsThread) {
+// The same failure between a decision and its post: the deciding thread is
+// delayed, and another thread's step performs the actions of both.
+TEST(ActionQueue, PerformsInDecisionOrderWhenAThreadIsDelayed) {
   Loop->run([this] {
     std::thread([this] { Queue.append({1}); }).join();
     Queue.append({2});
@@ -54,9 +55,10 @@
   expect({1, 2});
 }
 
-// Symptom as above. Sequence: one decision asks for two actions; the first
-// leads to a further step at once, whose actions are done before the second.
-TEST(ActionQueue, AnActionsOwnStepComesAfterTheActionsBeforeIt) {
+// The same symptom within one thread: one decision has two actions, and the
+// first triggers a further step at once, whose actions are performed before the
+// second.
+TEST(ActionQueue, NestedStepRunsAfterRemainingActions) {
   OnAction = [this](int Number) {
     if (Number != 1)
       return;
@@ -70,8 +72,8 @@
   expect({1, 2, 3});
 }
 
-// One action that throws doesn't hold up the others for good.
-TEST(ActionQueue, AnActionThatThrowsHoldsUpNothing) {
+// An action that throws does not block the others permanently.
+TEST(ActionQueue, ThrowingActionDoesNotBlockTheQueue) {
   OnAction = [](int Number) {
     if (Number == 1)
       kj::throwFatalException(KJ_EXCEPTION(FAILED, "an action fails"));
