--- a/Libraries/Http/byte_pipe.cpp
+++ b/Libraries/Http/byte_pipe.cpp
@@ -61,16 +61,16 @@
   return static_cast<std::int64_t>(Part);
 }
 
-byte_pipe::taken byte_pipe::take(std::size_t Most) {
+byte_pipe::chunk byte_pipe::tryPop(std::size_t Most) {
   const std::lock_guard Guard(Lock);
-  taken Taken;
+  chunk Chunk;
   const std::size_t Part = std::min(Most, Buffered.size());
-  Taken.Data = Buffered.substr(0, Part);
+  Chunk.Data = Buffered.substr(0, Part);
   Buffered.erase(0, Part);
-  Taken.Last = Finished && Buffered.empty() && Whole;
-  Taken.Broken = Finished && Buffered.empty() && !Whole;
+  Chunk.Last = Finished && Buffered.empty() && Whole;
+  Chunk.Broken = Finished && Buffered.empty() && !Whole;
   Changed.notify_all();
-  return Taken;
+  return Chunk;
 }
 
 bool byte_pipe::isReady() {
--- a/Libraries/Http/client.cpp
+++ b/Libraries/Http/client.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// State of one call while libcurl runs it.
+/// The state of one call while libcurl performs it.
 struct running_call {
   const http_call &Call;
   http_call_result &Result;
@@ -32,11 +32,11 @@
 
 http_client::~http_client() { curl_easy_cleanup(Handle); }
 
-static std::size_t takeHeader(char *Data, std::size_t Size, std::size_t Count,
-                              void *Closure) {
+static std::size_t onHeader(char *Data, std::size_t Size, std::size_t Count,
+                            void *Closure) {
   auto &Running = *static_cast<running_call *>(Closure);
   const std::string_view Line(Data, Size * Count);
-  // Each response's head begins with a status line; that of an interim
+  // Each response head begins with a status line. The head of an interim
   // response is replaced.
   if (Line.starts_with("HTTP/"))
     Running.Result.Headers.clear();
@@ -60,8 +60,8 @@
     Running.Call.OnHead(Running.Result.Status, Running.Result.Headers);
 }
 
-static std::size_t takeBody(char *Data, std::size_t Size, std::size_t Count,
-                            void *Closure) {
+static std::size_t onBody(char *Data, std::size_t Size, std::size_t Count,
+                          void *Closure) {
   auto &Running = *static_cast<running_call *>(Closure);
   announceHead(Running);
   const std::string_view Piece(Data, Size * Count);
@@ -104,7 +104,7 @@
 }
 
 static curl_slist *makeHeaders(const http_call &Call) {
-  // No "Expect: 100-continue": it costs a round trip.
+  // Disables "Expect: 100-continue", which costs a round trip.
   curl_slist *List = curl_slist_append(nullptr, "Expect:");
   std::string Line;
   for (const auto &[Name, Value] : Call.Headers) {
@@ -149,9 +149,9 @@
   curl_easy_setopt(Curl, CURLOPT_CONNECTTIMEOUT_MS,
                    static_cast<long>(Call.ConnectTimeoutMs));
   curl_easy_setopt(Curl, CURLOPT_FRESH_CONNECT, Call.FreshConnection ? 1L : 0L);
-  curl_easy_setopt(Curl, CURLOPT_HEADERFUNCTION, takeHeader);
+  curl_easy_setopt(Curl, CURLOPT_HEADERFUNCTION, onHeader);
   curl_easy_setopt(Curl, CURLOPT_HEADERDATA, &Running);
-  curl_easy_setopt(Curl, CURLOPT_WRITEFUNCTION, takeBody);
+  curl_easy_setopt(Curl, CURLOPT_WRITEFUNCTION, onBody);
   curl_easy_setopt(Curl, CURLOPT_WRITEDATA, &Running);
   curl_easy_setopt(Curl, CURLOPT_XFERINFOFUNCTION, checkAbort);
   curl_easy_setopt(Curl, CURLOPT_XFERINFODATA, &Running);
@@ -164,8 +164,8 @@
     announceHead(Running);
   else
     Result.Error = curl_easy_strerror(Code);
-  // A connect timeout is reported like any other; without a connection no byte
-  // was sent.
+  // libcurl reports a connect timeout like any other timeout. Without a
+  // connection no byte was sent.
   double Connected = 0;
   curl_easy_getinfo(Curl, CURLINFO_CONNECT_TIME, &Connected);
   if (Code == CURLE_OPERATION_TIMEDOUT && Connected == 0)
--- a/Libraries/Http/http.h
+++ b/Libraries/Http/http.h
@@ -1,5 +1,6 @@
-/// HTTP plumbing over libmicrohttpd and libcurl. One thread per connection, so
-/// that handlers may block; bodies stream both ways with bounded memory.
+/// HTTP server and client over libmicrohttpd and libcurl. Each connection has
+/// its own thread, so handlers may block. Bodies stream in both directions with
+/// bounded memory.
 #pragma once
 
 #include "Core/core.h"
@@ -23,71 +24,75 @@
 /// Header fields by lower-case name.
 using http_headers = std::map<std::string, std::string>;
 
-/// Everything of a request but its body.
+/// A request without its body.
 struct http_head {
   std::string Method;
   /// Decoded.
   std::string Path;
-  /// Path and query as they were sent, for passing on.
+  /// Path and query exactly as received, for forwarding.
   std::string Target;
   std::map<std::string, std::string> Query;
   http_headers Headers;
-  /// Socket of the caller, to see whether it went away.
+  /// Socket of the caller, used to detect that the caller has disconnected.
   int Socket = -1;
 };
 
-/// Value of a header, or "" when absent.
+/// Returns the value of a header, or "" when it is absent.
 std::string headerOr(const http_headers &Headers, const std::string &Name);
 
-/// What a body reader returns beside a count of bytes.
+/// Values that a body reader returns instead of a count of bytes.
 inline constexpr std::int64_t BodyEnd = -1;
 inline constexpr std::int64_t BodyBroken = -2;
 
-/// Fills a buffer; returns the bytes written, BodyEnd or BodyBroken. May block.
+/// Fills a buffer. Returns the number of bytes written, BodyEnd or BodyBroken.
+/// May block.
 using body_reader = std::function<std::int64_t(std::span<char>)>;
 
-/// An answer. Body is used unless Reader is set.
+/// A response. Body is used unless Reader is set.
 struct http_response {
   int Status = 200;
   http_headers Headers;
   std::string Body;
   body_reader Reader;
-  /// With Reader: the whole length, or -1 for chunks. A reader that ends short
-  /// of it, or broken, cuts the connection: no caller takes a part for whole.
+  /// With Reader: the total length in bytes, or -1 for chunked encoding. When a
+  /// reader ends before this length or reports BodyBroken, the connection is
+  /// closed, so that no caller mistakes a partial body for a complete one.
   std::int64_t Length = -1;
 };
 
-/// One request under way at the server. Calls come on the connection's thread.
+/// One request in flight at the server. Its functions are called on the
+/// connection's thread.
 class http_exchange {
 public:
   virtual ~http_exchange() = default;
-  /// After the head: an early answer ends the request before its body.
+  /// Called after the head. A response ends the request before its body is
+  /// read.
   virtual std::unique_ptr<http_response> begin() { return nullptr; }
-  /// A piece of the body; an answer ends the request early.
+  /// Called for each piece of the body. A response ends the request early.
   virtual std::unique_ptr<http_response> body(std::string_view Piece) = 0;
-  /// The body is whole.
+  /// Called when the body is complete.
   virtual std::unique_ptr<http_response> end() = 0;
 };
 
 using exchange_factory =
     std::function<std::unique_ptr<http_exchange>(http_head)>;
-/// Handler of requests whose short body is read first.
+/// Handler of requests with a short body, which is read completely first.
 using whole_handler =
     std::function<http_response(const http_head &, const std::string &Body)>;
 
 /// Limits of a server.
 struct http_server_options {
   unsigned MaxConnections = 2'000;
-  /// An idle or slow caller is cut after this many seconds.
+  /// Connections of idle or slow callers are closed after this many seconds.
   unsigned IdleSeconds = 15;
-  /// Longest body of a whole_handler.
+  /// Maximum body size for a whole_handler, in bytes.
   std::size_t MaxWholeBody = 2'097'152;
 };
 
 class http_server {
 public:
-  /// Listens at `ip:port`. The port isn't shared: while this process lives, no
-  /// other can take it.
+  /// Listens at `ip:port`. The port is not shared: no other process can bind it
+  /// while this process is running.
   static result<std::unique_ptr<http_server>>
   create(const std::string &Address, exchange_factory Factory,
          const http_server_options &Options = {});
@@ -98,7 +103,7 @@
   http_server(const http_server &) = delete;
   http_server &operator=(const http_server &) = delete;
 
-  /// Takes no more connections; those under way go on.
+  /// Stops accepting connections. Requests in flight continue.
   void stopListening();
 
   const exchange_factory &factory() const { return Factory; }
@@ -112,15 +117,16 @@
 /// Whether the peer has closed its side of \p Socket.
 bool peerHasLeft(int Socket);
 
-/// How a call ended, as far as this side can tell.
+/// How a call ended, as far as the client can determine.
 enum class call_end : std::uint8_t {
   /// The whole response was received.
   Complete,
-  /// No connection was made: no byte was sent.
+  /// No connection was made, so no byte was sent.
   NotConnected,
-  /// It broke off or timed out; the request may have been received.
+  /// The call was interrupted or timed out. The server may have received the
+  /// request.
   Broken,
-  /// Aborted from this side.
+  /// The client aborted the call.
   Aborted,
 };
 
@@ -130,19 +136,19 @@
   std::string Url;
   http_headers Headers;
   std::string Body;
-  /// Streams the body instead, in chunks.
+  /// When set, streams the body in chunks instead of sending Body.
   body_reader BodySource;
   std::int64_t TimeoutMs = 10'000;
   std::int64_t ConnectTimeoutMs = 2'000;
-  /// Sends over a new connection. On a kept one libcurl itself sends a request
-  /// again when the connection turns out to be dead, which must not happen to
+  /// Sends over a new connection. On a reused one, libcurl itself resends a
+  /// request when the connection turns out to be dead. This must not happen to
   /// non-idempotent work: the first copy may have run.
   bool FreshConnection = false;
   /// Called once with status and headers, before the body.
   std::function<void(int Status, const http_headers &)> OnHead;
-  /// Called for each piece; false aborts.
+  /// Called for each piece of the body. Returning false aborts the call.
   std::function<bool(std::string_view)> OnBody;
-  /// Polled; true aborts.
+  /// Polled during the call. The value true aborts it.
   const std::atomic<bool> *Abort = nullptr;
 };
 
@@ -150,12 +156,13 @@
   call_end End = call_end::Broken;
   int Status = 0;
   http_headers Headers;
-  /// The body, unless OnBody took it.
+  /// The body, unless OnBody consumed it.
   std::string Body;
   std::string Error;
 };
 
-/// A libcurl handle with its kept connections. Used by one thread at a time.
+/// A libcurl handle with its idle keep-alive connections. Used by one thread at
+/// a time.
 class http_client {
 public:
   http_client();
@@ -173,25 +180,27 @@
 public:
   explicit byte_pipe(std::size_t Limit) : Limit(Limit) {}
 
-  /// Waits for room. False when the reader is gone.
+  /// Waits for free space. Returns false when the reader has abandoned the
+  /// pipe.
   bool push(std::string_view Piece);
-  /// Ends the pipe; \p Whole says whether all bytes were pushed.
+  /// Closes the pipe. \p Whole states whether all bytes were pushed.
   void finish(bool Whole);
-  /// The reader takes no more.
+  /// Called by the reader to stop reading. Later pushes fail.
   void abandon();
-  /// Waits for bytes, or for the end; as body_reader.
+  /// Waits for bytes or for the end. Returns the same values as body_reader.
   std::int64_t pop(std::span<char> Buffer);
 
-  /// Bytes at hand without waiting, up to \p Limit; whether the end follows.
-  struct taken {
+  /// Bytes that are available without waiting, up to the limit passed to
+  /// tryPop(), and whether the end follows.
+  struct chunk {
     std::string Data;
     bool Last = false;
     bool Broken = false;
   };
-  taken take(std::size_t Limit);
-  /// Whether take() would return anything.
+  chunk tryPop(std::size_t Limit);
+  /// Whether tryPop() would return anything.
   bool isReady();
-  /// Called, on the writer's thread, whenever take() may return more.
+  /// Called on the writer's thread whenever tryPop() may return more.
   void onReady(std::function<void()> Callback);
 
 private:
--- a/Libraries/Http/server.cpp
+++ b/Libraries/Http/server.cpp
@@ -10,9 +10,10 @@
 
 namespace amaranthhoist {
 
-/// Stack of a connection's thread: handlers keep their buffers on the heap.
+/// Stack size of a connection's thread. Handlers keep their buffers on the
+/// heap.
 static constexpr std::size_t ConnectionStack = 262'144;
-/// Block in which streamed answers are handed to the socket.
+/// Block size in which streamed responses are written to the socket.
 static constexpr std::size_t StreamBlock = 65'536;
 
 std::string headerOr(const http_headers &Headers, const std::string &Name) {
@@ -60,7 +61,7 @@
   std::string Collected;
 };
 
-/// What libmicrohttpd keeps for us per request.
+/// The state of one request that libmicrohttpd stores for the server.
 struct connection_state {
   std::string Target;
   std::unique_ptr<http_exchange> Exchange;
@@ -139,9 +140,9 @@
   return Response ? queueResponse(Connection, *Response) : MHD_YES;
 }
 
-/// Keeps the target as it was sent. Passed on decoded, "%2F" would become a
-/// path separator and a repeated argument would be lost.
-static void *noteTarget(void *, const char *Target, MHD_Connection *) {
+/// Stores the target exactly as received. If it were forwarded decoded, "%2F"
+/// would become a path separator and a repeated argument would be lost.
+static void *storeTarget(void *, const char *Target, MHD_Connection *) {
   auto State = std::make_unique<connection_state>();
   State->Target = Target;
   return State.release();
@@ -188,7 +189,7 @@
           MHD_USE_POLL | MHD_USE_ITC,
       Parsed.Port, nullptr, nullptr, handleAccess, Server.get(),
       MHD_OPTION_SOCK_ADDR, reinterpret_cast<sockaddr *>(&Bound),
-      MHD_OPTION_URI_LOG_CALLBACK, noteTarget, nullptr,
+      MHD_OPTION_URI_LOG_CALLBACK, storeTarget, nullptr,
       MHD_OPTION_NOTIFY_COMPLETED, completed, nullptr,
       MHD_OPTION_CONNECTION_LIMIT, Options.MaxConnections,
       MHD_OPTION_CONNECTION_TIMEOUT, Options.IdleSeconds,
--- a/Libraries/Rpc/byte_source.cpp
+++ b/Libraries/Rpc/byte_source.cpp
@@ -5,12 +5,13 @@
 
 namespace amaranthhoist {
 
-/// Largest piece handed over in one message.
+/// Maximum number of bytes in one message.
 static constexpr std::uint32_t MaxPiece = 262'144;
 
 namespace {
 
-/// Fulfils a promise of the loop's thread from a pipe's writer, once.
+/// Fulfils a promise of the loop's thread once, from the thread of the pipe's
+/// writer.
 class ready_signal {
 public:
   explicit ready_signal(kj::Own<kj::CrossThreadPromiseFulfiller<void>> Target)
@@ -39,13 +40,13 @@
                        Context) {
   const std::uint32_t Limit =
       std::min(Context.getParams().getLimit(), MaxPiece);
-  byte_pipe::taken Taken = Pipe.take(Limit);
+  byte_pipe::chunk Chunk = Pipe.tryPop(Limit);
   auto Results = Context.getResults();
   Results.setData(
-      capnp::Data::Reader(reinterpret_cast<const kj::byte *>(Taken.Data.data()),
-                          Taken.Data.size()));
-  Results.setLast(Taken.Last);
-  Results.setBroken(Taken.Broken);
+      capnp::Data::Reader(reinterpret_cast<const kj::byte *>(Chunk.Data.data()),
+                          Chunk.Data.size()));
+  Results.setLast(Chunk.Last);
+  Results.setBroken(Chunk.Broken);
 }
 
 kj::Promise<void> pipe_source::read(ReadContext Context) {
@@ -56,14 +57,14 @@
   auto Paf = kj::newPromiseAndCrossThreadFulfiller<void>();
   auto Signal = std::make_shared<ready_signal>(kj::mv(Paf.fulfiller));
   Pipe->onReady([Signal] { Signal->fire(); });
-  // It may have become ready between the check and the subscription.
+  // The pipe may have become ready between the check and the subscription.
   if (Pipe->isReady())
     Signal->fire();
   return Paf.promise.then(
       [Held = Pipe, Context]() mutable { answer(*Held, Context); });
 }
 
-/// What one read brought, handed from the loop's thread to the reader's.
+/// The result of one read, passed from the loop's thread to the reader's.
 struct source_reply {
   std::string Data;
   bool Last = false;
--- a/Libraries/Rpc/byte_source.h
+++ b/Libraries/Rpc/byte_source.h
@@ -1,4 +1,4 @@
-/// A byte_pipe as a ByteSource capability.
+/// Exposes a byte_pipe as a ByteSource capability.
 #pragma once
 
 #include "Http/http.h"
@@ -10,8 +10,8 @@
 
 namespace amaranthhoist {
 
-/// Serves a pipe's bytes to a reader in another process. When the reader goes
-/// away the pipe is abandoned, which ends the writer.
+/// Serves a pipe's bytes to a reader in another process. When the reader
+/// disconnects, the pipe is abandoned, which ends the writer.
 class pipe_source final : public wire::ByteSource::Server {
 public:
   explicit pipe_source(std::shared_ptr<byte_pipe> Pipe);
@@ -24,8 +24,8 @@
   std::shared_ptr<byte_pipe> Pipe;
 };
 
-/// Reads from a source in another process; blocks the calling thread, which
-/// isn't the loop's. Returns as body_reader.
+/// Reads from a source in another process. Blocks the calling thread, which
+/// must not be the loop's. Returns the same values as body_reader.
 std::int64_t readFromSource(rpc_loop &Loop, wire::ByteSource::Client &Source,
                             std::span<char> Buffer);
 
--- a/Libraries/Rpc/rpc.cpp
+++ b/Libraries/Rpc/rpc.cpp
@@ -8,16 +8,16 @@
 
 namespace amaranthhoist {
 
-/// Longest time to connect to a peer.
-static constexpr duration ConnectLimit = std::chrono::milliseconds(1'000);
+/// Timeout for connecting to a peer.
+static constexpr duration ConnectTimeout = std::chrono::milliseconds(1'000);
 
-/// One kept connection. The bootstrap capability is a promise until the
+/// One pooled connection. The bootstrap capability is a promise until the
 /// connection is made, so calls can be made at once.
 struct rpc_loop::connection {
   kj::Own<kj::AsyncIoStream> Stream;
   kj::Own<capnp::TwoPartyClient> Client;
   std::optional<capnp::Capability::Client> Main;
-  /// Tells this connection from a later one to the same address.
+  /// Distinguishes this connection from a later one to the same address.
   std::uint64_t Number = 0;
 };
 
@@ -59,7 +59,7 @@
       Function();
     });
   } catch (const kj::Exception &Exception) {
-    // The loop has ended: the process is on its way out.
+    // The loop has ended because the process is exiting.
     KJ_LOG(INFO, "rpc loop call failed", Exception);
   }
 }
@@ -83,8 +83,8 @@
 }
 
 void rpc_loop::runPosts() {
-  // Armed again before the queue is emptied: a post in between wakes the loop
-  // once too often, never once too little.
+  // The wake-up is armed before the queue is emptied: a post in between may
+  // wake the loop once too often, but never once too little.
   awaitPosts();
   runDue();
 }
@@ -108,15 +108,16 @@
 }
 
 void rpc_loop::taskFailed(kj::Exception &&) {
-  // Kept promises handle their own failures; what is left is a peer that went
-  // away, which the caller sees as its failed call.
+  // Kept promises handle their own failures. The remaining failure is a
+  // disconnected peer, which the caller observes as a failed call.
 }
 
 void rpc_loop::dropPeer(const std::string &Address) {
   auto Found = Connections.find(Address);
   if (Found == Connections.end())
     return;
-  // Calls under way hold their own references; the streams end with the last.
+  // Calls in flight hold their own references. The streams are closed with the
+  // last one.
   auto Old = std::move(Found->second);
   Connections.erase(Found);
   Tasks->add(kj::Promise<void>(kj::READY_NOW).attach(kj::mv(Old)));
@@ -137,7 +138,7 @@
         return Promise.attach(kj::mv(Parsed));
       });
   auto Ready =
-      within(ConnectLimit, kj::mv(Connecting))
+      within(ConnectTimeout, kj::mv(Connecting))
           .then(
               [this, Raw, Number, Address](kj::Own<kj::AsyncIoStream> Stream)
                   -> capnp::Capability::Client {
@@ -171,7 +172,7 @@
                               capnp::Capability::Client Main) {
   TRY(parseAddress(Address));
   result<bool> Outcome = true;
-  // The server lives as long as the loop.
+  // The server has the lifetime of the loop.
   struct server_state {
     kj::Own<capnp::TwoPartyServer> Server;
     kj::Own<kj::ConnectionReceiver> Receiver;
@@ -185,8 +186,8 @@
       });
   keep(Listening.catch_([Address](kj::Exception &&Exception) {
     KJ_LOG(FATAL, "can't listen", Address, Exception);
-    // Another process holds the address: an earlier start of this daemon may
-    // still be running, and two must not act as one.
+    // Another process has bound the address. An earlier start of this daemon
+    // may still be running, and two processes must not act as one daemon.
     std::_Exit(3);
   }));
   keep(kj::Promise<void>(kj::NEVER_DONE).attach(kj::mv(State)));
--- a/Libraries/Rpc/rpc.h
+++ b/Libraries/Rpc/rpc.h
@@ -1,5 +1,6 @@
-/// Cap'n Proto RPC between the system's processes: one event loop on a thread
-/// of its own, connections kept by address. Other threads hand it functions.
+/// Cap'n Proto RPC between the processes of the system: one event loop on its
+/// own thread, with connections pooled by address. Other threads pass functions
+/// to it.
 #pragma once
 
 #include "Core/core.h"
@@ -25,43 +26,45 @@
   rpc_loop(const rpc_loop &) = delete;
   rpc_loop &operator=(const rpc_loop &) = delete;
 
-  /// Runs \p Function on the loop's thread, after what was posted before, and
-  /// waits until it has returned. Not to be called on the loop's thread itself.
+  /// Runs \p Function on the loop's thread, after all functions posted before,
+  /// and waits until it has returned. Do not call this on the loop's thread.
   void run(const std::function<void()> &Function);
 
-  /// Runs \p Function on the loop's thread some time soon, in the order of the
-  /// calls; returns at once. Saves the caller the two thread switches of run().
+  /// Schedules \p Function on the loop's thread, in the order of the calls, and
+  /// returns at once. Avoids the two thread switches of run().
   void post(std::function<void()> Function);
 
   /// Whether the calling thread is the loop's.
   bool isLoopThread() const;
 
-  /// Serves \p Main at `ip:port`. The port isn't shared with any process.
+  /// Serves \p Main at `ip:port`. The port is not shared with any other
+  /// process.
   result<bool> listen(const std::string &Address,
                       capnp::Capability::Client Main);
 
   // On the loop's thread only:
 
-  /// The main interface at \p Address, over the kept connection.
+  /// Returns the main interface at \p Address, over the pooled connection.
   template <typename Interface>
   typename Interface::Client peer(const std::string &Address) {
     return bootstrap(Address).castAs<Interface>();
   }
 
-  /// Forgets the connection to \p Address; the next call makes a new one.
+  /// Removes the connection to \p Address from the pool. The next call makes a
+  /// new one.
   void dropPeer(const std::string &Address);
 
-  /// Keeps \p Promise running; its failure is dropped.
+  /// Keeps \p Promise running. Its failure is ignored.
   void keep(kj::Promise<void> &&Promise);
 
-  /// Fails after \p Limit unless \p Promise has ended.
+  /// Fails when \p Promise has not completed after \p Limit.
   template <typename T>
   kj::Promise<T> within(duration Limit, kj::Promise<T> &&Promise) {
     return Timer->timeoutAfter(Limit.count() * kj::MICROSECONDS,
                                kj::mv(Promise));
   }
 
-  /// Ends after \p Time.
+  /// Completes after \p Time.
   kj::Promise<void> after(duration Time);
 
 private:
@@ -71,7 +74,7 @@
   void taskFailed(kj::Exception &&Exception) override;
   void awaitPosts();
   void runPosts();
-  /// Runs what is posted, in order.
+  /// Runs the posted functions in order.
   void runDue();
 
   std::map<std::string, std::unique_ptr<connection>> Connections;
@@ -83,7 +86,8 @@
   kj::Own<kj::PromiseFulfiller<void>> Stop;
   std::mutex PostLock;
   std::vector<std::function<void()>> Posted;
-  /// Set while the loop sleeps on an empty queue; whoever posts takes it.
+  /// Set while the loop sleeps on an empty queue. The thread that posts the
+  /// next function extracts it to wake the loop.
   kj::Own<kj::CrossThreadPromiseFulfiller<void>> Wake;
   std::thread Thread;
   bool Stopped = false;
--- a/Tests/http_test.cpp
+++ b/Tests/http_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP plumbing, over loopback.
+// Tests the HTTP server and client over loopback.
 
 #include "Http/http.h"
 
@@ -12,10 +12,11 @@
 TEST_GROUP(Http) {};
 // clang-format on
 
-// Symptom: a backend server gets another path or fewer arguments than the
-// caller sent. Sequence: the target is decoded, its arguments sorted into a
-// map, and put together again. Cause: what is decoded can't be told apart.
-TEST(Http, TheTargetIsKeptAsItWasSent) {
+// Guards against a backend server that receives another path or fewer arguments
+// than the caller sent. The failure occurs when the target is decoded, its
+// arguments are sorted into a map, and the target is assembled again: decoding
+// discards the difference between distinct targets.
+TEST(Http, PreservesTheRequestTarget) {
   auto Server = http_server::createWhole(
       Address, [](const http_head &Head, const std::string &Body) {
         http_response Response;
@@ -33,10 +34,10 @@
   STRCMP_EQUAL((Target + " body").c_str(), Result.Body.c_str());
 }
 
-// Symptom: half an export is taken for the whole. Sequence: the source breaks
-// off after some bytes. The caller must see a broken call, never a complete
-// one.
-TEST(Http, ABodyThatEndsShortIsNeverComplete) {
+// Guards against a partial export that is mistaken for a complete one. The
+// source fails after some bytes. The caller must observe an interrupted call,
+// never a complete one.
+TEST(Http, ReportsATruncatedBodyAsIncomplete) {
   for (const std::int64_t Length : {std::int64_t(1'000), std::int64_t(-1)}) {
     auto Server = http_server::createWhole(
         Address, [Length](const http_head &, const std::string &) {
@@ -59,14 +60,14 @@
   }
 }
 
-TEST(Http, ARefusedConnectionIsToldFromABrokenOne) {
+TEST(Http, DistinguishesRefusedFromInterruptedConnections) {
   http_client Client;
   http_call Call;
   Call.Url = std::string("http://") + Address + "/";
   CHECK(Client.call(Call).End == call_end::NotConnected);
 }
 
-TEST(Http, APipeHandsOnItsEndAndItsBreak) {
+TEST(Http, PipePropagatesEndAndInterruption) {
   for (const bool Whole : {true, false}) {
     byte_pipe Pipe(8);
     CHECK(Pipe.push("abc"));
--- a/Tests/rpc_test.cpp
+++ b/Tests/rpc_test.cpp
@@ -1,4 +1,4 @@
-// The loop on which the daemons' decisions and calls run.
+// Tests the event loop that runs the daemons' decisions and calls.
 
 #include "Rpc/rpc.h"
 
@@ -12,11 +12,13 @@
 TEST_GROUP(Rpc) {};
 // clang-format on
 
-// Symptom: a caller's request stays in an entry for ever. Sequence: the request
-// is posted to the loop; its caller goes away at once, which the loop is told
-// by run(); the loop takes that in first, finds no such request, and then
-// starts it. Cause: run() overtaking what the same thread had posted before.
-TEST(Rpc, WhatIsRunComesAfterWhatWasPosted) {
+// Guards against a caller's request that stays in an entry forever. The failure
+// occurs when the request is posted to the loop, its caller disconnects at
+// once, and the disconnect is passed to the loop by run(): the loop processes
+// the disconnect first, finds no such request, and starts the request
+// afterwards. The cause was that run() overtook functions that the same thread
+// had posted before.
+TEST(Rpc, RunExecutesAfterEarlierPosts) {
   rpc_loop Loop;
   constexpr int Rounds = 2'000;
   int Overtaken = 0;
@@ -24,14 +26,14 @@
     bool IsPostedDone = false;
     Loop.post([&] { IsPostedDone = true; });
     Loop.run([&] { Overtaken += IsPostedDone ? 0 : 1; });
-    // Leaves nothing of this round behind.
+    // Completes this round, so that no posted function is left.
     Loop.run([] {});
   }
   LONGS_EQUAL(0, Overtaken);
 }
 
-// What several threads post is done in the order of each thread's calls.
-TEST(Rpc, PostsOfOneThreadKeepTheirOrder) {
+// Functions posted by several threads run in the order of each thread's calls.
+TEST(Rpc, PreservesPostOrderPerThread) {
   rpc_loop Loop;
   std::vector<int> Seen;
   constexpr int Posts = 1'000;
