--- a/Libraries/Protocol/protocol.capnp
+++ b/Libraries/Protocol/protocol.capnp
@@ -1,5 +1,5 @@
 @0xd3f1a8c27b5e9046;
-# Messages between the system's own processes.
+# Messages between the processes of the system.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("amaranthhoist::wire");
@@ -11,15 +11,15 @@
   unknown @3;
 }
 
-# One side of a stream of bytes. The receiver reads, so that no more is under
-# way than it has room for.
+# The sending side of a byte stream. The receiver reads from it, which limits the
+# bytes in flight to what the receiver can buffer.
 interface ByteSource {
   read @0 (limit :UInt32) -> (data :Data, last :Bool, broken :Bool);
 }
 
 struct WorkRequest {
   requestId @0 :Text;
-  # Gateway node that is meant: instance, site and incarnation.
+  # Id of the destination gateway node: instance, site and incarnation.
   node @1 :Text;
   customer @2 :Text;
   service @3 :Text;
@@ -28,12 +28,12 @@
   sourceRegion @6 :Text;
   priority @7 :Int32;
   weight @8 :Int32;
-  # Time left when this was sent.
+  # Time until the deadline when the request was sent, in microseconds.
   remainingUs @9 :Int64;
   method @10 :Text;
   path @11 :Text;
   contentType @12 :Text;
-  # The body when it is short; else body is empty and source is set.
+  # The complete body when it is short. Otherwise body is empty and source is set.
   body @13 :Data;
   source @14 :ByteSource;
 }
@@ -55,13 +55,13 @@
   retryAfterUs @2 :Int64;
   status @3 :UInt16;
   contentType @4 :Text;
-  # Length of the whole body, or -1 when it isn't known yet.
+  # Length of the whole body in bytes, or -1 when it is not known yet.
   length @5 :Int64;
   body @6 :Data;
-  # What follows body; null when body is whole.
+  # The rest of the response body. Null when body is complete.
   rest @7 :ByteSource;
   offers @8 :List(Offer);
-  # This process doesn't run the node that was meant.
+  # The requested node does not run in this process.
   noSuchNode @9 :Bool;
 }
 
@@ -83,7 +83,7 @@
       replyKey @3 :Text;
       recorded @4 :Bool;
     }
-    # A target that said that it is leaving.
+    # Name of a target that reported that it is draining.
     leaving @5 :Text;
   }
 }
@@ -93,7 +93,7 @@
   seal @1 (node :Text, key :Text) -> (answer :Answer);
   offers @2 () -> (offers :List(Offer));
   deliver @3 (from :Text, to :Text, message :PeerMessage) -> ();
-  # Operators' view, as JSON.
+  # Status for operators, as JSON.
   status @4 () -> (json :Text);
 }
 
@@ -142,20 +142,21 @@
 }
 
 interface Control {
-  # Long poll of a local daemon, named by its kind: items applied after sequence
-  # and the members that are down. A control that has restarted has another
-  # epoch and answers from the start.
+  # Long poll of a local daemon, identified by its kind: returns the items applied
+  # after sequence and the members that are down. A restarted control has another
+  # epoch and returns all items from the start.
   changes @0 (epoch :UInt64, sequence :UInt64, waitMs :UInt32, daemon :Text)
       -> (epoch :UInt64, sequence :UInt64, items :List(Item),
           down :List(Text));
   # Conditional update at the platform on behalf of a local daemon.
   update @1 (key :Text, value :Text, baseVersion :Int64, deleted :Bool)
       -> (result :UpdateResult, version :Int64);
-  # Items that an operator's command got accepted by the platform.
+  # Items of an operator's command that the platform has accepted.
   announce @2 (items :List(Item)) -> ();
   replicate @3 (from :Text, message :ReplicaMessage) -> ();
   probe @4 (from :Text, message :MembershipMessage) -> ();
-  # The version of each key held, for `contract apply --wait`.
+  # Returns the version that this control has for each key, for
+  # `contract apply --wait`.
   held @5 (keys :List(Text)) -> (items :List(KeyVersion));
   status @6 () -> (json :Text);
 }
--- a/Libraries/Protocol/protocol.h
+++ b/Libraries/Protocol/protocol.h
@@ -1,4 +1,4 @@
-/// Conversion between the decision logic's structs and Cap'n Proto messages.
+/// Converts between the structs of the decision logic and Cap'n Proto messages.
 #pragma once
 
 #include "Gateway/gateway.h"
@@ -12,7 +12,7 @@
 
 namespace amaranthhoist {
 
-/// An offer and the service it is for.
+/// An offer and its service.
 struct service_offer {
   std::string Service;
   offer Offer;
