--- a/Libraries/Settings/section_reader.h
+++ b/Libraries/Settings/section_reader.h
@@ -1,4 +1,4 @@
-/// Reads the fields of one mapping of a settings file and notes every fault
+/// Reads the fields of one mapping of a settings file and records every fault
 /// with its line. Shared by the readers of all settings files.
 #pragma once
 
@@ -14,18 +14,20 @@
 
 namespace amaranthhoist {
 
-/// Parses \p Text, whose top must be a mapping; notes a fault otherwise.
+/// Parses \p Text, whose top level must be a mapping. Records a fault
+/// otherwise.
 YAML::Node parseYaml(std::string_view Text,
                      std::vector<settings_fault> &Faults);
 
-/// Reads the fields of one mapping, noting faults and unknown fields.
+/// Reads the fields of one mapping. Records faults and unknown fields.
 class section_reader {
 public:
   section_reader(const YAML::Node &Node, std::string Prefix,
                  std::vector<settings_fault> &Faults)
       : Node(Node), Prefix(std::move(Prefix)), Faults(Faults) {}
 
-  /// A name: used in keys and ids, so it has letters, digits and '-' only.
+  /// Reads a name. Names are used in keys and ids, so they consist of letters,
+  /// digits and '-' only.
   void readName(const char *Field, std::string &Value) {
     if (!readScalar(Field, Value, true))
       return;
@@ -108,17 +110,18 @@
     }
   }
 
-  /// A time such as `1500ms` or `2.5s`.
+  /// Reads a time such as `1500ms` or `2.5s`.
   void readDuration(const char *Field, duration &Value, duration Low,
                     duration High);
 
   void readReal(const char *Field, double &Value, double Low, double High);
 
-  /// A mapping of names to names.
+  /// Reads a mapping of names to names.
   void readTextMap(const char *Field,
                    std::map<std::string, std::string> &Values);
 
-  /// A nested mapping; an empty one, with a fault, when it isn't there.
+  /// Reads a nested mapping. When it is absent, records a fault and returns an
+  /// empty one.
   YAML::Node section(const char *Field) {
     const YAML::Node Child = child(Field);
     if (Child && Child.IsMap())
@@ -127,11 +130,12 @@
     return YAML::Node(YAML::NodeType::Map);
   }
 
-  /// A misspelt field would silently leave its default in force.
+  /// Unknown fields are faults: a misspelt field would silently leave its
+  /// default in force.
   void rejectUnknown() {
     for (const auto &Entry : Node) {
       const auto Name = Entry.first.as<std::string>("");
-      if (!Known.contains(Name))
+      if (!KnownFields.contains(Name))
         Faults.push_back(
             {Entry.first.Mark().line + 1, Prefix + Name, "unknown field"});
     }
@@ -139,7 +143,7 @@
 
 private:
   YAML::Node child(const char *Field) {
-    Known.insert(Field);
+    KnownFields.insert(Field);
     return Node[Field];
   }
 
@@ -163,7 +167,7 @@
   YAML::Node Node;
   std::string Prefix;
   std::vector<settings_fault> &Faults;
-  std::set<std::string> Known;
+  std::set<std::string> KnownFields;
 };
 
 } // namespace amaranthhoist
--- a/Libraries/Settings/settings.h
+++ b/Libraries/Settings/settings.h
@@ -1,5 +1,6 @@
-/// The settings of one instance, read by all its daemons from one YAML file.
-/// All faults are found at once, each with line, field and permitted values.
+/// The settings of one instance, which all its daemons read from one YAML file.
+/// A check reports all faults at once, each with line, field and permitted
+/// values.
 #pragma once
 
 #include "Core/core.h"
@@ -13,51 +14,53 @@
 
 /// Settings of `amaranthhoist-entry`.
 struct entry_daemon_settings {
-  /// `ip:port` for callers, HTTP.
+  /// `ip:port` of the HTTP server for callers.
   std::string Listen;
-  /// How long a caller may keep a look-up's answer, in milliseconds.
+  /// How long a caller may cache a look-up response, in milliseconds.
   std::int64_t LookupTtlMs = 30'000;
-  /// Longest request body, in bytes.
+  /// Maximum size of a request body, in bytes.
   std::int64_t MaxBodyBytes = 1'073'741'824;
-  /// Connections from callers at a time.
+  /// Maximum number of concurrent connections from callers.
   std::int64_t MaxConnections = 2'000;
-  /// Deadline of a request that names none, in milliseconds.
+  /// Deadline of a request that does not specify one, in milliseconds.
   std::int64_t DefaultDeadlineMs = 10'000;
 };
 
 /// Settings of `amaranthhoist-gateway`.
 struct gateway_daemon_settings {
-  /// `ip:port` for the system's own processes.
+  /// `ip:port` of the RPC server for the processes of the system.
   std::string Listen;
-  /// `ip:port` for metrics, HTTP.
+  /// `ip:port` of the HTTP server for metrics.
   std::string MetricsListen;
-  /// Sites whose backend servers it sends to.
+  /// Sites to whose backend servers the gateway sends work.
   std::vector<std::string> Sites;
-  /// Longest deadline told to a backend server, in milliseconds.
+  /// Maximum deadline passed to a backend server, in milliseconds.
   std::int64_t MaxWorkMs = 120'000;
-  /// Waiting requests per customer and service.
+  /// Maximum number of queued requests per customer and service.
   std::int64_t QueuePerCustomer = 64;
-  /// Waiting requests per service.
+  /// Maximum number of queued requests per service.
   std::int64_t QueueTotal = 256;
-  /// Idempotency keys held per site.
+  /// Maximum number of idempotency keys stored per site.
   std::int64_t MaxKeys = 200'000;
-  /// Path of the backend servers' health answer; empty: they have none.
+  /// Path of the backend servers' health check. Empty when they have none.
   std::string ProbePath;
-  /// Time between probes of one target, in milliseconds.
+  /// Interval between probes of one target, in milliseconds.
   std::int64_t ProbePeriodMs = 1'000;
 };
 
 /// Settings of `amaranthhoist-control`.
 struct control_daemon_settings {
-  /// `ip:port` for the system's own processes and the command line.
+  /// `ip:port` of the RPC server for the processes of the system and the
+  /// command line.
   std::string Listen;
-  /// `ip:port` for metrics, HTTP.
+  /// `ip:port` of the HTTP server for metrics.
   std::string MetricsListen;
-  /// Base address of the platform's object API.
+  /// Base URL of the platform's object API.
   std::string Platform;
-  /// Controls asked for state before any member is known, `ip:port`.
+  /// `ip:port` of the controls that are queried for state before any member is
+  /// known.
   std::vector<std::string> Seeds;
-  /// How many controls of a region watch the platform.
+  /// Number of controls per region that watch the platform.
   std::int64_t WatchersPerRegion = 2;
 };
 
@@ -66,7 +69,7 @@
   std::string Instance;
   std::string Region;
   std::string FailureDomain;
-  /// One way to each region, in milliseconds.
+  /// One-way latency to each region, in milliseconds.
   std::map<std::string, double> LinkMs;
   /// trace, debug, info, warn or error.
   std::string LogLevel = "info";
@@ -83,29 +86,30 @@
   std::string Message;
 };
 
-/// What a check found. The settings are usable only without faults.
+/// The result of a check. The settings are usable only when there are no
+/// faults.
 struct settings_check {
   instance_settings Settings;
   std::vector<settings_fault> Faults;
 };
 
-/// Checks the text of a settings file.
+/// Parses and checks the text of a settings file.
 settings_check checkSettings(std::string_view Text);
 
-/// A fault as `FILE:LINE: FIELD: MESSAGE`.
+/// Formats a fault as `FILE:LINE: FIELD: MESSAGE`.
 std::string describe(const settings_fault &Fault, std::string_view File);
 
-/// The text of a settings file.
+/// Reads the text of a settings file.
 result<std::string> readSettingsFile(const std::string &File);
 
-/// All faults as one error, a line each.
+/// Combines all faults into one error, with one line for each.
 error faultsAsError(const std::vector<settings_fault> &Faults,
                     std::string_view File);
 
-/// Loads and checks \p File; all faults in the error's message.
+/// Loads and checks \p File. The error's message lists all faults.
 result<instance_settings> loadSettings(const std::string &File);
 
-/// Splits `ip:port`; Invalid when it isn't one.
+/// Splits `ip:port`. Returns Invalid when the text has another form.
 struct socket_address {
   std::string Ip;
   std::uint16_t Port = 0;
