--- a/Libraries/Logging/logging.h
+++ b/Libraries/Logging/logging.h
@@ -1,4 +1,4 @@
-/// Logs as JSON lines on standard error, by log4cxx.
+/// Writes log lines as JSON to standard error, through log4cxx.
 #pragma once
 
 #include <initializer_list>
@@ -13,11 +13,12 @@
 /// One field of a log line.
 using log_field = std::pair<std::string_view, std::string>;
 
-/// Sets up the log of this process. \p Level is as in the settings.
+/// Initialises the log of this process. \p Level takes the same values as in
+/// the settings.
 void setUpLogging(const std::string &Daemon, const std::string &Instance,
                   const std::string &Level);
 
-/// Writes one line: time, level, daemon, instance, message and \p Fields.
+/// Writes one line with time, level, daemon, instance, message and \p Fields.
 void logLine(log_level Level, std::string_view Message,
              std::initializer_list<log_field> Fields = {});
 
