--- a/Libraries/Daemon/daemon.cpp
+++ b/Libraries/Daemon/daemon.cpp
@@ -20,7 +20,8 @@
   sigaddset(&Set, SIGTERM);
   sigaddset(&Set, SIGINT);
   pthread_sigmask(SIG_BLOCK, &Set, nullptr);
-  // A peer that goes away while it's written to is an error value.
+  // Writing to a peer that has disconnected returns an error instead of raising
+  // a signal.
   std::signal(SIGPIPE, SIG_IGN);
 }
 
--- a/Libraries/Daemon/daemon.h
+++ b/Libraries/Daemon/daemon.h
@@ -1,4 +1,4 @@
-/// What the daemons' main functions share: arguments, settings, signals.
+/// Shared code of the daemons' main functions: arguments, settings and signals.
 #pragma once
 
 #include "Settings/settings.h"
@@ -13,12 +13,13 @@
 inline constexpr int Success = 0;
 inline constexpr int Failure = 1;
 inline constexpr int Usage = 2;
-/// The address is held by another process, or can't be bound.
+/// Another process has bound the address, or it cannot be bound.
 inline constexpr int AddressTaken = 3;
 } // namespace exit_codes
 
-/// Runs a daemon: reads `--settings FILE`, sets up the log, calls \p Run. Run
-/// starts the daemon, calls waitForStop() and ends it; its error is printed.
+/// Runs a daemon: reads `--settings FILE`, initialises the log and calls \p
+/// Run. Run starts the daemon, calls waitForStop() and shuts the daemon down.
+/// An error that it returns is printed.
 int runDaemon(
     int ArgumentCount, char **Arguments, const std::string &Name,
     const std::function<result<bool>(const instance_settings &)> &Run);
@@ -26,11 +27,12 @@
 /// Version of all programs.
 inline constexpr const char *ProgramVersion = "0.1.0";
 
-/// A random name that tells whose write an object is after a lost answer.
+/// Returns a random name that identifies the writer of an object when the
+/// response to the write was lost.
 std::string makeOperationId();
 
-/// Blocks SIGTERM and SIGINT, so that only waitForStop() takes them. Called
-/// before any thread is made.
+/// Blocks SIGTERM and SIGINT, so that only waitForStop() receives them. Call
+/// this before any thread is created.
 void blockStopSignals();
 
 /// Waits for SIGTERM or SIGINT.
