--- a/Libraries/Timers/timers.cpp
+++ b/Libraries/Timers/timers.cpp
@@ -46,7 +46,8 @@
     for (subscription &Subscription : Subscriptions) {
       if (Subscription.Next <= Now) {
         Due.push_back(Subscription.Function);
-        // From now, not from the missed time: after a pause there is one call.
+        // The next call is scheduled relative to now instead of the missed
+        // time: after a pause there is one call.
         Subscription.Next = Now + Subscription.Period;
       }
       Wake = std::min(Wake, Subscription.Next);
--- a/Libraries/Timers/timers.h
+++ b/Libraries/Timers/timers.h
@@ -1,5 +1,5 @@
-/// Timer service of a daemon: parts subscribe to a period; one thread calls
-/// them. Also the only place that reads the clocks.
+/// Timer service of a daemon: components subscribe with a period and are called
+/// on one thread. This is also the only component that reads the clocks.
 #pragma once
 
 #include "Core/core.h"
@@ -13,14 +13,14 @@
 
 namespace amaranthhoist {
 
-/// The process's monotonic clock as an instant. It goes on while the process
-/// is stopped, so a paused holder sees on waking that its time is over.
+/// Returns the monotonic clock of the process. It advances while the process is
+/// stopped, so a paused holder detects on resuming that its time has expired.
 instant currentInstant();
 
 /// Milliseconds since the Unix epoch.
 std::int64_t currentWallMs();
 
-/// Both clocks.
+/// Returns both clocks.
 moment currentMoment();
 
 /// Calls subscribers periodically on one thread.
@@ -31,10 +31,10 @@
   timer_service(const timer_service &) = delete;
   timer_service &operator=(const timer_service &) = delete;
 
-  /// Calls \p Function every \p Period from now on.
+  /// Starts calling \p Function every \p Period.
   void subscribe(duration Period, std::function<void()> Function);
 
-  /// Ends the thread; no call is made afterwards.
+  /// Ends the thread. No function is called afterwards.
   void stop();
 
 private:
