--- a/Libraries/Platform/platform.cpp
+++ b/Libraries/Platform/platform.cpp
@@ -73,8 +73,8 @@
   Call.Headers["If-Match"] = std::to_string(BaseVersion);
   Call.Headers["Content-Type"] = "application/json";
   Call.TimeoutMs = CallTimeoutMs;
-  // A repeat by libcurl would be harmless here, since the update is
-  // conditional, but its conflict would hide that the first one was ours.
+  // A retry by libcurl would be harmless to the data, since the update is
+  // conditional, but its conflict would hide that the first attempt succeeded.
   Call.FreshConnection = true;
   const http_call_result Result = Client.call(Call);
   if (Result.End != call_end::Complete || Result.Status != 200)
