--- a/Services/Gateway/gateway_daemon.cpp
+++ b/Services/Gateway/gateway_daemon.cpp
@@ -11,11 +11,13 @@
 
 namespace amaranthhoist {
 
-/// More exchanges than this wait for a thread; slots bound them far lower.
+/// Exchanges beyond this number wait for a thread. Slots limit them to a far
+/// lower number.
 static constexpr std::size_t MaxWorkers = 1'024;
 static constexpr duration TickPeriod = std::chrono::milliseconds(50);
-/// Time between lines that say what a leaving gateway still waits for.
-static constexpr duration LeavingReport = std::chrono::seconds(5);
+/// Interval between log lines that list what a gateway that shuts down is
+/// waiting for.
+static constexpr duration ShutdownReportPeriod = std::chrono::seconds(5);
 
 static link_identity identityOf(const instance_settings &Settings) {
   link_identity Identity;
@@ -34,15 +36,16 @@
 
 gateway_daemon::~gateway_daemon() {
   Timers.stop();
-  // What the timer's last call has posted refers to the shards, which end
-  // before the loop does.
+  // Functions posted by the timer's last call refer to the shards, which are
+  // destroyed before the loop.
   Loop.run([] {});
 }
 
 result<bool> gateway_daemon::start() {
   result<bool> Listening = true;
-  // Bound before registering: the bound port proves that no earlier process of
-  // this instance is left, which is what the new incarnation tells others.
+  // The port is bound before the gateway registers: the bound port proves that
+  // no earlier process of this instance is running, which is what the new
+  // incarnation asserts to others.
   Loop.run([&] {
     Listening =
         Loop.listen(Settings.Gateway.Listen, kj::heap<gateway_server>(*this));
@@ -81,8 +84,8 @@
   return nullptr;
 }
 
-/// Decided on the thread that brings the event, carried out on the loop in the
-/// order of the decisions.
+/// Makes the decision on the calling thread. The actions are performed on the
+/// loop's thread in the order of the decisions.
 void gateway_daemon::step(node_shard &Shard, const gateway_event &Event) {
   bool IsIdle = false;
   {
@@ -91,7 +94,7 @@
     IsIdle = Actions.empty();
     Shard.Actions.append(std::move(Actions));
   }
-  // Most ticks ask for nothing and needn't wake the loop.
+  // Most ticks produce no action and do not need to wake the loop.
   if (!IsIdle)
     Shard.Actions.drain();
 }
@@ -113,8 +116,8 @@
   }
 }
 
-void gateway_daemon::noteEnd(const request_payload &Payload,
-                             const finish_request &Action) {
+void gateway_daemon::recordEnd(const request_payload &Payload,
+                               const finish_request &Action) {
   const std::string Outcome(toString(Action.Outcome));
   const duration Took = currentInstant() - Payload.Arrived;
   Metrics.observeLatency({Payload.Customer, Payload.Service, Outcome}, Took);
@@ -141,16 +144,16 @@
     }
   }
   if (Payload)
-    noteEnd(*Payload, Action);
+    recordEnd(*Payload, Action);
   auto Found = Waiting.find(Action.Token);
   if (Found == Waiting.end())
     return;
-  gateway_answer Answer;
+  gateway_response Answer;
   Answer.Outcome = Action.Outcome;
   Answer.Reason = std::move(Action.Reason);
   Answer.RetryAfter = Action.RetryAfter;
-  Answer.Answer = std::move(Action.Answer);
-  Answer.Length = static_cast<std::int64_t>(Answer.Answer.Body.size());
+  Answer.Response = std::move(Action.Answer);
+  Answer.Length = static_cast<std::int64_t>(Answer.Response.Body.size());
   Found->second.Fulfiller->fulfill(kj::mv(Answer));
   Waiting.erase(Found);
 }
@@ -160,7 +163,7 @@
   if (!Name)
     return;
   auto Found = Addresses.find(Name->Instance);
-  // A later incarnation doesn't hold what the earlier one held.
+  // A later incarnation does not hold the state of the earlier one.
   if (Found == Addresses.end() || Found->second.second != Name->Incarnation)
     return;
   auto Request = Loop.peer<wire::Gateway>(Found->second.first).deliverRequest();
@@ -228,8 +231,8 @@
   const duration Left = Action.Deadline - Begin;
   Request.TimeoutMs =
       std::chrono::duration_cast<std::chrono::milliseconds>(Left).count();
-  // An absolute time: a pause between here and the send shortens the work
-  // instead of moving it past what is accounted for.
+  // The deadline is an absolute time: a pause between here and the send
+  // shortens the work instead of moving it past the time that is accounted for.
   Request.DeadlineWallMs = currentWallMs() + Request.TimeoutMs;
   Request.Abort = &Payload->Abort;
   Request.OnStream = [this, Token = Action.Token](
@@ -238,14 +241,14 @@
     stream(Token, Status, Headers, std::move(First), std::move(Rest));
   };
   exchange_result Result = runExchange(Clients, Request);
-  // A streamed request body can't be read twice.
+  // A streamed request body can be read only once.
   const bool Consumed = Payload->Source.has_value();
   target_ended Ended{Action.Token,
                      Result.End,
                      currentInstant() - Begin,
                      Result.Streamed || Consumed,
-                     Result.Leaving,
-                     std::move(Result.Answer)};
+                     Result.Draining,
+                     std::move(Result.Response)};
   step(Shard, Ended);
 }
 
@@ -258,11 +261,11 @@
       Rest->abandon();
       return;
     }
-    gateway_answer Answer;
+    gateway_response Answer;
     Answer.Outcome = outcome::Answered;
-    Answer.Answer.Status = Status;
-    Answer.Answer.ContentType = headerOr(Headers, "content-type");
-    Answer.Answer.Body = std::move(First);
+    Answer.Response.Status = Status;
+    Answer.Response.ContentType = headerOr(Headers, "content-type");
+    Answer.Response.Body = std::move(First);
     const std::string Length = headerOr(Headers, "content-length");
     Answer.Length = Length.empty() ? -1 : std::atoll(Length.c_str());
     Answer.Rest = std::move(Rest);
@@ -271,24 +274,25 @@
   });
 }
 
-kj::Promise<gateway_answer>
+kj::Promise<gateway_response>
 gateway_daemon::handleRun(const std::string &NodeId, work_request Work,
                           std::shared_ptr<request_payload> Payload) {
   node_shard *Shard = findShard(NodeId);
   if (!Shard) {
-    gateway_answer Answer;
+    gateway_response Answer;
     Answer.NoSuchNode = true;
     return Answer;
   }
   Work.Token = NextToken++;
-  auto Paf = kj::newPromiseAndFulfiller<gateway_answer>();
+  auto Paf = kj::newPromiseAndFulfiller<gateway_response>();
   Waiting[Work.Token] = {kj::mv(Paf.fulfiller)};
   {
     const std::lock_guard Guard(PayloadLock);
     Payloads[Work.Token] = std::move(Payload);
   }
   step(*Shard, request_arrived{Work});
-  // Destroyed unfinished when the entry cancels its call or goes away.
+  // The promise is destroyed before it is fulfilled when the entry cancels its
+  // call or disconnects.
   const std::uint64_t Token = Work.Token;
   return Paf.promise.attach(kj::defer([this, Shard, Token] {
     if (Waiting.erase(Token) != 0)
@@ -296,16 +300,16 @@
   }));
 }
 
-kj::Promise<gateway_answer>
+kj::Promise<gateway_response>
 gateway_daemon::handleSeal(const std::string &NodeId, const std::string &Key) {
   node_shard *Shard = findShard(NodeId);
   if (!Shard) {
-    gateway_answer Answer;
+    gateway_response Answer;
     Answer.NoSuchNode = true;
     return Answer;
   }
   const std::uint64_t Token = NextToken++;
-  auto Paf = kj::newPromiseAndFulfiller<gateway_answer>();
+  auto Paf = kj::newPromiseAndFulfiller<gateway_response>();
   Waiting[Token] = {kj::mv(Paf.fulfiller)};
   step(*Shard, seal_asked{Token, Key});
   return kj::mv(Paf.promise);
@@ -318,27 +322,27 @@
     step(*Shard, peer_message_arrived{From, Message});
 }
 
-void gateway_daemon::leave(duration Limit) {
+void gateway_daemon::shutDown(duration Limit) {
   const instant Until = currentInstant() + Limit;
   Loop.run([this] {
-    Leaving = true;
+    ShuttingDown = true;
     Control.unregister();
     for (auto &[Site, Shard] : Shards)
       step(*Shard, drain_changed{true, true});
   });
-  instant NextReport = currentInstant() + LeavingReport;
-  while (currentInstant() < Until && !allLeft()) {
+  instant NextReport = currentInstant() + ShutdownReportPeriod;
+  while (currentInstant() < Until && !isShutdownComplete()) {
     std::this_thread::sleep_for(TickPeriod);
     if (currentInstant() < NextReport)
       continue;
-    NextReport += LeavingReport;
-    logWhatIsLeft();
+    NextReport += ShutdownReportPeriod;
+    logPendingShutdown();
   }
-  logLine(allLeft() ? log_level::Info : log_level::Warn, "left",
-          {{"complete", allLeft() ? "yes" : "no"}});
+  logLine(isShutdownComplete() ? log_level::Info : log_level::Warn, "left",
+          {{"complete", isShutdownComplete() ? "yes" : "no"}});
 }
 
-bool gateway_daemon::allLeft() {
+bool gateway_daemon::isShutdownComplete() {
   const std::lock_guard Guard(ShardsLock);
   return std::all_of(Shards.begin(), Shards.end(), [](auto &Entry) {
     const std::lock_guard NodeGuard(Entry.second->Lock);
--- a/Services/Gateway/gateway_daemon.h
+++ b/Services/Gateway/gateway_daemon.h
@@ -1,4 +1,5 @@
-/// Sockets, threads and locks around the gateway nodes of one instance.
+/// The gateway daemon: sockets, threads and locks around the gateway nodes of
+/// one instance.
 #pragma once
 
 #include "ActionQueue/action_queue.h"
@@ -23,20 +24,20 @@
 
 namespace amaranthhoist {
 
-/// An answer on its way to the entry.
-struct gateway_answer {
+/// A response to be sent to the entry.
+struct gateway_response {
   outcome Outcome = outcome::Refused;
   std::string Reason;
   duration RetryAfter{};
-  stored_answer Answer;
-  /// Length of the whole body, or -1.
+  stored_answer Response;
+  /// Length of the whole body in bytes, or -1 when unknown.
   std::int64_t Length = -1;
-  /// Brings what follows Answer.Body.
+  /// Delivers the bytes that follow Response.Body.
   std::shared_ptr<byte_pipe> Rest;
   bool NoSuchNode = false;
 };
 
-/// A site's node, its lock, and what it has decided.
+/// A site's node with its lock and the actions that it has decided on.
 struct node_shard {
   node_shard(rpc_loop &Loop, action_queue<gateway_action>::performer Perform)
       : Actions(Loop, std::move(Perform)) {}
@@ -46,12 +47,14 @@
   action_queue<gateway_action> Actions;
 };
 
-/// A request whose entry waits for its answer. Lives on the loop's thread.
+/// A request whose entry is waiting for the response. Used on the loop's thread
+/// only.
 struct waiting_request {
-  kj::Own<kj::PromiseFulfiller<gateway_answer>> Fulfiller;
+  kj::Own<kj::PromiseFulfiller<gateway_response>> Fulfiller;
 };
 
-/// What the exchange needs of a request; outlives the waiting entry.
+/// The parts of a request that the HTTP exchange needs. Outlives the entry in
+/// Waiting.
 struct request_payload {
   std::string RequestId;
   std::string Customer;
@@ -62,7 +65,7 @@
   std::string Key;
   std::string Body;
   work_class Class = work_class::Idempotent;
-  /// Streams a long body from the entry; used on the loop's thread only.
+  /// Streams a long body from the entry. Used on the loop's thread only.
   std::optional<wire::ByteSource::Client> Source;
   std::atomic<bool> Abort = false;
   std::atomic<int> Attempts = 0;
@@ -74,33 +77,33 @@
   explicit gateway_daemon(const instance_settings &Settings);
   ~gateway_daemon();
 
-  /// Listens, registers and begins to serve.
+  /// Starts listening, registers the gateway and starts serving.
   result<bool> start();
 
-  /// Takes no new work, lets what is under way finish, gives its shares back
-  /// and unregisters; at most \p Limit.
-  void leave(duration Limit);
+  /// Stops accepting work, waits for work in progress, returns the gateway's
+  /// shares and unregisters. Waits at most \p Limit.
+  void shutDown(duration Limit);
 
   // On the loop's thread:
-  kj::Promise<gateway_answer> handleRun(const std::string &NodeId,
-                                        work_request Work,
-                                        std::shared_ptr<request_payload> Body);
-  kj::Promise<gateway_answer> handleSeal(const std::string &NodeId,
-                                         const std::string &Key);
+  kj::Promise<gateway_response>
+  handleRun(const std::string &NodeId, work_request Work,
+            std::shared_ptr<request_payload> Body);
+  kj::Promise<gateway_response> handleSeal(const std::string &NodeId,
+                                           const std::string &Key);
   void handlePeerMessage(const std::string &From, const std::string &To,
                          const peer_message &Message);
   std::vector<service_offer> offers();
   std::string statusJson();
 
-  /// Where calls and changes are taken in.
+  /// The loop that processes calls and changes.
   rpc_loop &loop() { return Loop; }
 
 private:
   void step(node_shard &Shard, const gateway_event &Event);
   void perform(node_shard &Shard, gateway_action &Action);
   void finish(finish_request &Action);
-  /// Counts and logs how a request ended here.
-  void noteEnd(const request_payload &Payload, const finish_request &Action);
+  /// Records the request's outcome in the metrics and in the log.
+  void recordEnd(const request_payload &Payload, const finish_request &Action);
   void sendToPeer(node_shard &Shard, const send_to_peer &Action);
   void writeRecord(node_shard &Shard, const write_record &Action);
   void sendToTarget(node_shard &Shard, const send_to_target &Action);
@@ -120,25 +123,25 @@
                         const std::set<std::string> &Down) const;
   void probeTargets();
   node_shard *findShard(const std::string &NodeId);
-  bool allLeft();
-  /// Says what each site's node that hasn't left still waits for.
-  void logWhatIsLeft();
+  bool isShutdownComplete();
+  /// Logs, for each site's node that has not shut down, what it is waiting for.
+  void logPendingShutdown();
 
   instance_settings Settings;
   rpc_loop Loop;
   client_pool Clients;
   metrics_registry Metrics;
   control_link Control;
-  /// By site. Shards are added on the loop's thread and never removed.
+  /// Keyed by site. Shards are added on the loop's thread and never removed.
   std::map<std::string, std::unique_ptr<node_shard>> Shards;
   std::mutex ShardsLock;
   std::unordered_map<std::uint64_t, waiting_request> Waiting;
   std::mutex PayloadLock;
   std::unordered_map<std::uint64_t, std::shared_ptr<request_payload>> Payloads;
-  /// Addresses of other gateways by instance, with their incarnations.
+  /// Addresses and incarnations of other gateways, keyed by instance.
   std::map<std::string, std::pair<std::string, std::int64_t>> Addresses;
   std::atomic<std::uint64_t> NextToken = 1;
-  bool Leaving = false;
+  bool ShuttingDown = false;
   std::unique_ptr<http_server> MetricsServer;
   worker_pool Workers;
   timer_service Timers;
--- a/Services/Gateway/gateway_server.cpp
+++ b/Services/Gateway/gateway_server.cpp
@@ -40,16 +40,16 @@
   return Payload;
 }
 
-static void writeAnswer(const gateway_answer &Answer,
-                        std::span<const service_offer> Offers,
-                        wire::Answer::Builder Builder) {
+static void writeResponse(const gateway_response &Answer,
+                          std::span<const service_offer> Offers,
+                          wire::Answer::Builder Builder) {
   Builder.setOutcome(toWire(Answer.Outcome));
   Builder.setReason(Answer.Reason);
   Builder.setRetryAfterUs(Answer.RetryAfter.count());
-  Builder.setStatus(static_cast<std::uint16_t>(Answer.Answer.Status));
-  Builder.setContentType(Answer.Answer.ContentType);
+  Builder.setStatus(static_cast<std::uint16_t>(Answer.Response.Status));
+  Builder.setContentType(Answer.Response.ContentType);
   Builder.setLength(Answer.Length);
-  const std::string &Body = Answer.Answer.Body;
+  const std::string &Body = Answer.Response.Body;
   Builder.setBody(capnp::Data::Reader(
       reinterpret_cast<const kj::byte *>(Body.data()), Body.size()));
   if (Answer.Rest)
@@ -63,18 +63,18 @@
   const std::string Node = toString(Request.getNode());
   auto Answer = Daemon.handleRun(Node, readWork(Request), readPayload(Request));
   Context.releaseParams();
-  // A dropped call means that the caller went away.
+  // A dropped call means that the caller has disconnected.
   Context.allowCancellation();
-  return Answer.then([this, Context](const gateway_answer &Result) mutable {
-    writeAnswer(Result, Daemon.offers(), Context.getResults().initAnswer());
+  return Answer.then([this, Context](const gateway_response &Result) mutable {
+    writeResponse(Result, Daemon.offers(), Context.getResults().initAnswer());
   });
 }
 
 kj::Promise<void> gateway_server::seal(SealContext Context) {
   auto Answer = Daemon.handleSeal(toString(Context.getParams().getNode()),
                                   toString(Context.getParams().getKey()));
-  return Answer.then([Context](const gateway_answer &Result) mutable {
-    writeAnswer(Result, {}, Context.getResults().initAnswer());
+  return Answer.then([Context](const gateway_response &Result) mutable {
+    writeResponse(Result, {}, Context.getResults().initAnswer());
   });
 }
 
--- a/Services/Gateway/gateway_server.h
+++ b/Services/Gateway/gateway_server.h
@@ -1,4 +1,4 @@
-/// The gateway's interface towards the system's other processes.
+/// The gateway's RPC interface for the other processes of the system.
 #pragma once
 
 #include "gateway_daemon.h"
--- a/Services/Gateway/gateway_view.cpp
+++ b/Services/Gateway/gateway_view.cpp
@@ -1,4 +1,5 @@
-// The daemon's reactions to changes of the platform's objects, and its reports.
+// Applies changes of the platform's objects to the gateway daemon, and reports
+// its state.
 
 #include "gateway_daemon.h"
 
@@ -66,10 +67,10 @@
   const bool GatewaysChanged =
       Change.touches(kinds::Gateway) || Change.DownChanged;
   if (GatewaysChanged) {
-    // One that has unregistered is reached as long as its object leaves a
-    // trace: it waits for the return of what it lent, and without an address
-    // the return would be dropped. Messages name the incarnation, so a later
-    // one is safe.
+    // The address of an unregistered gateway is kept until its object's
+    // tombstone is removed: the gateway waits for the return of its loans, and
+    // without an address the return would be dropped. Messages contain the
+    // incarnation, so a later incarnation is not affected.
     std::erase_if(Addresses, [&](const auto &Entry) {
       return !View.Items.contains(objectKey(kinds::Gateway, Entry.first));
     });
@@ -77,9 +78,10 @@
       if (const auto Record = parseDaemon(Item->Value))
         Addresses[Record->Instance] = {Record->Address, Item->Version};
   }
-  // 0 before the registration and, for sites that are served already, after its
-  // end: a leaving gateway gives up its share by a conditional update, which
-  // fails for ever on a record that others have changed since.
+  // The incarnation is 0 before the registration and, for sites that are
+  // already served, after its end: a gateway that shuts down gives up its share
+  // by a conditional update, which would fail forever on a record that others
+  // have changed since.
   const std::int64_t Incarnation = Control.incarnation();
   const bool DrainsChanged = Change.touches(kinds::Drain);
   const bool TargetsChanged = Change.touches(kinds::Target) || DrainsChanged;
@@ -87,7 +89,7 @@
     auto Item = View.Items.find(objectKey(kinds::Site, Site));
     if (Item == View.Items.end() || Item->second.Deleted)
       continue;
-    // A site heard of for the first time takes in all that is known.
+    // A new site receives the complete current state.
     const bool Fresh = !Shards.contains(Site);
     if (Fresh && Incarnation == 0)
       continue;
@@ -146,10 +148,11 @@
   };
   const bool Draining = Contains(Drains.Sites, Site) ||
                         Contains(Drains.Instances, Settings.Instance);
-  step(Shard, drain_changed{Draining || Leaving, Leaving});
+  step(Shard, drain_changed{Draining || ShuttingDown, ShuttingDown});
 }
 
-/// One gateway probes each target: a probe costs a target several milliseconds.
+/// Whether this gateway probes the target. Exactly one gateway probes each
+/// target, since a probe costs a target several milliseconds.
 static bool isProber(const gateway_node &Node, const std::string &Target) {
   const std::uint64_t Own = stableHash(Target, stableHash(Node.Settings.Id));
   for (const std::string &Peer : Node.Peers)
@@ -176,11 +179,11 @@
   }
   http_client Client;
   for (const probe &Probe : Probes)
-    if (probeSaysLeaving(Client, Probe.Address, Settings.Gateway.ProbePath))
+    if (probeReportsDraining(Client, Probe.Address, Settings.Gateway.ProbePath))
       step(*Probe.Shard, target_leaving{Probe.Target});
 }
 
-void gateway_daemon::logWhatIsLeft() {
+void gateway_daemon::logPendingShutdown() {
   const std::lock_guard Guard(ShardsLock);
   for (const auto &[Site, Shard] : Shards) {
     const std::lock_guard NodeGuard(Shard->Lock);
--- a/Services/Gateway/main.cpp
+++ b/Services/Gateway/main.cpp
@@ -5,16 +5,16 @@
 
 using namespace amaranthhoist;
 
-/// Longest wait for work under way after SIGTERM. Whatever is left then ends
+/// Maximum wait for work in progress after SIGTERM. Work that is left then ends
 /// with the process and is accounted for as of unknown end.
-static constexpr duration LeaveLimit = std::chrono::minutes(10);
+static constexpr duration ShutdownTimeout = std::chrono::minutes(10);
 
 static result<bool> runGateway(const instance_settings &Settings) {
   gateway_daemon Daemon(Settings);
   TRY(Daemon.start());
   waitForStop();
-  Daemon.leave(LeaveLimit);
-  // Exchanges that are still open would hold up the destructors.
+  Daemon.shutDown(ShutdownTimeout);
+  // Open exchanges would delay the destructors.
   std::_Exit(exit_codes::Success);
 }
 
--- a/Services/Gateway/target_exchange.cpp
+++ b/Services/Gateway/target_exchange.cpp
@@ -6,18 +6,18 @@
 
 namespace amaranthhoist {
 
-/// Longest answer that is handed on in one message.
-static constexpr std::size_t MaxWholeAnswer = 65'536;
-/// Longest answer to non-idempotent work.
-static constexpr std::size_t MaxKeyedAnswer = 1'048'576;
-/// Bytes of one answer held between backend server and entry.
+/// Maximum size of a response, in bytes, that is forwarded in one message.
+static constexpr std::size_t MaxInlineResponse = 65'536;
+/// Maximum size of a response to non-idempotent work, in bytes.
+static constexpr std::size_t MaxKeyedResponse = 1'048'576;
+/// Bytes of one response that are buffered between backend server and entry.
 static constexpr std::size_t PipeLimit = 262'144;
-/// An answer that takes longer than this is streamed from here on.
-static constexpr duration HoldBack = std::chrono::milliseconds(20);
+/// A response that takes longer than this is streamed from then on.
+static constexpr duration StreamDelay = std::chrono::milliseconds(20);
 static constexpr std::int64_t CancelTimeoutMs = 1'000;
 static constexpr std::int64_t ProbeTimeoutMs = 1'000;
 
-std::unique_ptr<http_client> client_pool::take(const std::string &Address) {
+std::unique_ptr<http_client> client_pool::acquire(const std::string &Address) {
   {
     const std::lock_guard Guard(Lock);
     auto &Clients = Free[Address];
@@ -30,25 +30,26 @@
   return std::make_unique<http_client>();
 }
 
-void client_pool::give(const std::string &Address,
-                       std::unique_ptr<http_client> Client) {
+void client_pool::release(const std::string &Address,
+                          std::unique_ptr<http_client> Client) {
   const std::lock_guard Guard(Lock);
   Free[Address].push_back(std::move(Client));
 }
 
 namespace {
 
-/// Collects or streams one answer while it arrives.
-class answer_sink {
+/// Collects or streams one response while it is received.
+class response_sink {
 public:
-  explicit answer_sink(const exchange_request &Request) : Request(Request) {}
+  explicit response_sink(const exchange_request &Request) : Request(Request) {}
 
   void head(int Status, const http_headers &Headers) {
     HeadAt = currentInstant();
     this->Status = Status;
     this->Headers = Headers;
-    // An answer that doesn't name this very request is somebody else's: a
-    // cross-wired proxy or a reused connection. Not a byte of it goes on.
+    // A response without this request's id belongs to another request, because
+    // of a misrouting proxy or a reused connection. None of its bytes are
+    // forwarded.
     Own = headerOr(Headers, "x-request-id") == Request.RequestId;
   }
 
@@ -59,9 +60,9 @@
       return Pipe->push(Bytes);
     Collected.append(Bytes);
     if (Request.Class == work_class::NonIdempotent)
-      return Collected.size() <= MaxKeyedAnswer;
-    const bool Slow = currentInstant() - HeadAt > HoldBack;
-    if (Collected.size() > MaxWholeAnswer || Slow)
+      return Collected.size() <= MaxKeyedResponse;
+    const bool Slow = currentInstant() - HeadAt > StreamDelay;
+    if (Collected.size() > MaxInlineResponse || Slow)
       startStream();
     return true;
   }
@@ -91,7 +92,8 @@
 
 } // namespace
 
-static http_call makeCall(const exchange_request &Request, answer_sink &Sink) {
+static http_call makeCall(const exchange_request &Request,
+                          response_sink &Sink) {
   http_call Call;
   Call.Method = Request.Method;
   Call.Url = "http://" + Request.Address + Request.Path;
@@ -113,7 +115,8 @@
   return Call;
 }
 
-/// Asks the backend server to stop the work. Only its own word proves the end.
+/// Requests the backend server to stop the work. Only the server's own
+/// confirmation proves that the work has ended.
 static bool cancelAtTarget(const exchange_request &Request) {
   http_client Client;
   http_call Call;
@@ -124,8 +127,8 @@
   return Result.End == call_end::Complete && Result.Status == 200;
 }
 
-static target_end endOf(const exchange_request &Request,
-                        const http_call_result &Result, bool Own) {
+static target_end classifyEnd(const exchange_request &Request,
+                              const http_call_result &Result, bool Own) {
   if (Result.End == call_end::NotConnected)
     return target_end::NotReached;
   if (Result.End == call_end::Complete && Own) {
@@ -140,30 +143,30 @@
 
 exchange_result runExchange(client_pool &Clients,
                             const exchange_request &Request) {
-  std::unique_ptr<http_client> Client = Clients.take(Request.Address);
-  answer_sink Sink(Request);
+  std::unique_ptr<http_client> Client = Clients.acquire(Request.Address);
+  response_sink Sink(Request);
   const http_call_result Call = Client->call(makeCall(Request, Sink));
   exchange_result Result;
-  Result.End = endOf(Request, Call, Sink.isOwn());
+  Result.End = classifyEnd(Request, Call, Sink.isOwn());
   Result.Streamed = Sink.isStreaming();
-  Result.Leaving = headerOr(Call.Headers, "x-draining") == "1";
+  Result.Draining = headerOr(Call.Headers, "x-draining") == "1";
   Sink.finish(Result.End == target_end::Completed);
-  Result.Answer.Status = Call.Status;
-  Result.Answer.ContentType = headerOr(Call.Headers, "content-type");
-  Result.Answer.Body = Sink.takeCollected();
+  Result.Response.Status = Call.Status;
+  Result.Response.ContentType = headerOr(Call.Headers, "content-type");
+  Result.Response.Body = Sink.takeCollected();
   if (Call.End == call_end::Complete && Sink.isOwn())
-    Clients.give(Request.Address, std::move(Client));
+    Clients.release(Request.Address, std::move(Client));
   return Result;
 }
 
-bool probeSaysLeaving(http_client &Client, const std::string &Address,
-                      const std::string &Path) {
+bool probeReportsDraining(http_client &Client, const std::string &Address,
+                          const std::string &Path) {
   http_call Call;
   Call.Url = "http://" + Address + Path;
   Call.TimeoutMs = ProbeTimeoutMs;
   const http_call_result Result = Client.call(Call);
-  // Silence or an error is no word of leaving: failures are counted where work
-  // is sent.
+  // A timeout or an error does not mean that the server is draining. Failures
+  // are counted where work is sent.
   return Result.End == call_end::Complete &&
          headerOr(Result.Headers, "x-draining") == "1";
 }
--- a/Services/Gateway/target_exchange.h
+++ b/Services/Gateway/target_exchange.h
@@ -1,4 +1,4 @@
-/// One HTTP exchange with a backend server, on a worker's thread.
+/// One HTTP exchange with a backend server. Runs on a worker's thread.
 #pragma once
 
 #include "Gateway/gateway.h"
@@ -14,24 +14,27 @@
 
 namespace amaranthhoist {
 
-/// Kept handles, and so connections, by target address. A handle serves one
-/// exchange at a time, so connections never outnumber slots in use.
+/// Pool of HTTP client handles, and thereby of idle keep-alive connections,
+/// keyed by target address. A handle serves one exchange at a time, so
+/// connections never outnumber slots in use.
 class client_pool {
 public:
-  std::unique_ptr<http_client> take(const std::string &Address);
-  /// Only after a whole exchange: a connection with anything left on it could
-  /// give one caller the answer to another's request.
-  void give(const std::string &Address, std::unique_ptr<http_client> Client);
+  std::unique_ptr<http_client> acquire(const std::string &Address);
+  /// Returns \p Client to the pool. Call this only after a complete exchange:
+  /// unread bytes on a connection could give one caller the response to another
+  /// caller's request.
+  void release(const std::string &Address, std::unique_ptr<http_client> Client);
 
 private:
   std::mutex Lock;
   std::map<std::string, std::vector<std::unique_ptr<http_client>>> Free;
 };
 
-/// What is sent, and what the exchange reports while it runs.
+/// The request to send, and the callbacks that the exchange invokes while it
+/// runs.
 struct exchange_request {
   std::string Address;
-  /// Unique over tries; the backend server echoes it.
+  /// Unique for each attempt. The backend server echoes it.
   std::string RequestId;
   std::string Method;
   std::string Path;
@@ -43,8 +46,8 @@
   std::int64_t DeadlineWallMs = 0;
   std::int64_t TimeoutMs = 0;
   const std::atomic<bool> *Abort = nullptr;
-  /// Idempotent work: called when the answer is known to be long or slow, with
-  /// its head, its first bytes and the pipe that brings the rest.
+  /// For idempotent work: called once the response is known to be long or slow,
+  /// with its head, its first bytes and the pipe that delivers the rest.
   std::function<void(int Status, const http_headers &Headers, std::string First,
                      std::shared_ptr<byte_pipe> Rest)>
       OnStream;
@@ -53,17 +56,17 @@
 struct exchange_result {
   target_end End = target_end::Broken;
   bool Streamed = false;
-  bool Leaving = false;
-  /// The whole answer, unless streamed.
-  stored_answer Answer;
+  bool Draining = false;
+  /// The whole response, unless it was streamed.
+  stored_answer Response;
 };
 
-/// Runs the exchange; blocks.
+/// Runs the exchange. Blocks until it has ended.
 exchange_result runExchange(client_pool &Clients,
                             const exchange_request &Request);
 
-/// Whether the backend server's health answer says that it is leaving.
-bool probeSaysLeaving(http_client &Client, const std::string &Address,
-                      const std::string &Path);
+/// Whether the backend server's health response reports that it is draining.
+bool probeReportsDraining(http_client &Client, const std::string &Address,
+                          const std::string &Path);
 
 } // namespace amaranthhoist
--- a/Tests/gateway_daemon_test.cpp
+++ b/Tests/gateway_daemon_test.cpp
@@ -1,4 +1,4 @@
-// The gateway as a daemon: whom it still reaches.
+// Tests which peers the gateway daemon still reaches.
 
 #include "daemon_stand_ins.h"
 #include "gateway_daemon.h"
@@ -41,7 +41,8 @@
     CHECK(waitUntil([this] { return !servedNode().empty(); }));
   }
 
-  /// The id of the node that serves site-a; empty until there is one.
+  /// Returns the id of the node that serves site-a, or an empty string while
+  /// there is none.
   std::string servedNode() {
     std::string Id;
     Daemon->loop().run([&] {
@@ -53,7 +54,8 @@
     return Id;
   }
 
-  /// Returns a loan to the daemon, as the peer; whether its confirmation came.
+  /// Returns a loan to the daemon as the peer, and returns whether the
+  /// confirmation arrived.
   bool isReturnConfirmed(const std::string &LoanId) {
     const loan_message Return{loan_message::kind::Return, {}, LoanId,
                               PowerResource, 1};
@@ -71,16 +73,18 @@
 };
 // clang-format on
 
-// Symptom: both gateways of a site are asked to stop and neither ends ("the
-// gateway 0 did not end", after 30 s; 6 of 46 runs). Sequence: one of them
-// unregisters and gives back what it has borrowed; the other sees first that
-// the registration is gone. Cause: with the registration the address was
-// forgotten, so that the confirmation was dropped; one that isn't told goes on
-// returning, and doesn't leave before.
-TEST(GatewayDaemon, APeerThatHasUnregisteredIsStillAnswered) {
+// Guards against two gateways of a site that are both asked to stop and never
+// end ("the gateway 0 did not end", after 30 s; 6 of 46 runs). The failure
+// occurs when one gateway unregisters and returns its borrowed shares while the
+// other processes the removed registration first. The address was removed
+// together with the registration, so the confirmation was dropped; a gateway
+// without a confirmation keeps returning its loan and does not shut down before
+// it receives one.
+TEST(GatewayDaemon, UnregisteredPeerStillReceivesConfirmation) {
   CHECK(isReturnConfirmed("g-2/1"));
   Control->announce(objectKey(kinds::Gateway, "g-2"), 3, "");
-  // The daemon has taken in the removal once it has taken in what comes next.
+  // Changes are applied in order: the daemon has applied the removal once it
+  // has applied the next change.
   Control->announce(
       objectKey(kinds::Gateway, "g-3"), 4,
       formatDaemon(
