--- a/Tests/daemon_stand_ins.cpp
+++ b/Tests/daemon_stand_ins.cpp
@@ -99,7 +99,7 @@
   }
 
 private:
-  /// Above the versions that tests give.
+  /// Higher than the versions that the tests use.
   static constexpr std::int64_t FirstWritten = 1'000;
 
   stand_in_control &Owner;
--- a/Tests/daemon_stand_ins.h
+++ b/Tests/daemon_stand_ins.h
@@ -1,5 +1,5 @@
-/// What a daemon under test meets: gateways on a loop of their own, and the
-/// objects that a control would hand it.
+/// Test doubles for the daemon tests: gateways on their own event loop, and the
+/// objects that a control would send to the daemon under test.
 #pragma once
 
 #include "ControlLink/control_link.h"
@@ -18,17 +18,18 @@
 
 namespace amaranthhoist {
 
-/// After this something counts as never happening. Nothing is measured by it.
+/// Time after which a test assumes that an event will not occur. No measurement
+/// depends on it.
 inline constexpr duration HangLimit = std::chrono::seconds(20);
 
-/// Settings of an instance that follows no control.
+/// Settings of an instance without a control.
 instance_settings standInSettings();
 
-/// Waits until \p Holds; false after HangLimit.
+/// Waits until \p Holds returns true. Returns false after HangLimit.
 bool waitUntil(const std::function<bool()> &Holds);
 
-/// All other gateways, at one address. Work that is sent there is never
-/// answered; as witness it answers that nothing ran.
+/// Stands in for all other gateways, at one address. It never responds to work;
+/// as witness it responds that nothing has run.
 class stand_in_gateways {
 public:
   stand_in_gateways();
@@ -38,7 +39,7 @@
   std::atomic<int> Runs = 0;
   std::atomic<int> Seals = 0;
 
-  /// Messages delivered so far: node meant, and the message.
+  /// Messages delivered so far, each with its destination node.
   std::vector<std::pair<std::string, peer_message>> delivered();
 
 private:
@@ -49,8 +50,8 @@
   rpc_loop Loop;
 };
 
-/// The control of an instance: hands on what it is given, and writes whatever a
-/// daemon asks for.
+/// Stands in for the control of an instance: passes on the changes given to it,
+/// and accepts every write of a daemon.
 class stand_in_control {
 public:
   stand_in_control();
@@ -58,7 +59,7 @@
 
   const std::string Address;
 
-  /// Hands on a change; a value of "" removes the object.
+  /// Passes on a change. A value of "" removes the object.
   void announce(const std::string &Key, std::int64_t Version,
                 const std::string &Value);
   /// Whether a daemon has written \p Key.
@@ -73,13 +74,14 @@
   rpc_loop Loop;
 };
 
-/// Objects as a control hands them on, batch by batch.
+/// The objects as a control sends them, in batches.
 class daemon_view {
 public:
   void put(const std::string &Key, std::int64_t Version,
            const std::string &Value);
   void remove(const std::string &Key, std::int64_t Version);
-  /// What has changed since the last call. Valid until the next call.
+  /// Returns the changes since the last call. The result is valid until the
+  /// next call.
   view_change change();
 
 private:
