--- a/Services/Control/control_daemon.cpp
+++ b/Services/Control/control_daemon.cpp
@@ -11,10 +11,10 @@
 
 static constexpr duration MembershipPeriod = std::chrono::milliseconds(100);
 static constexpr duration ComparePeriod = std::chrono::milliseconds(1'000);
-/// A local daemon that hasn't asked for changes for this long isn't answered
-/// for. It asks at least every two seconds.
-static constexpr duration LifeSign = std::chrono::milliseconds(3'000);
-/// Threads for calls to the platform on behalf of local daemons.
+/// Control stops reporting a local daemon as alive when the daemon has not
+/// polled for changes for this long. Daemons poll at least every two seconds.
+static constexpr duration LivenessTimeout = std::chrono::milliseconds(3'000);
+/// Threads that call the platform on behalf of local daemons.
 static constexpr std::size_t PlatformThreads = 4;
 
 control_daemon::control_daemon(const instance_settings &Settings)
@@ -62,7 +62,7 @@
   return true;
 }
 
-void control_daemon::leave() {
+void control_daemon::shutDown() {
   Loop.run([this] {
     auto Held = View.Items.find(Name);
     if (Held == View.Items.end())
@@ -76,10 +76,11 @@
 }
 
 std::string control_daemon::addressOf(const std::string &Member) const {
-  // A member is a daemon; its instance's control answers for it.
+  // Each daemon is a member. The control of its instance responds on its
+  // behalf.
   const std::string Key = objectKey(kinds::Control, splitKey(Member).Name);
   auto Found = Records.find(Key);
-  // Seeds are named by their addresses until their objects are known.
+  // Seeds are identified by their addresses until their objects are known.
   return Found == Records.end() ? Member : Found->second.Address;
 }
 
@@ -120,17 +121,17 @@
     KeyBySequence[++Sequence] = Item.Key;
     SequenceByKey[Item.Key] = Sequence;
   }
-  // Most changes are to contracts and pools; only those to daemons cost a pass
-  // over the fleet.
+  // Most changes affect contracts and pools. Only changes to daemons require a
+  // pass over the fleet.
   bool MembersChanged = false;
   for (const item &Item : Items)
-    MembersChanged = noteDaemon(Item) || MembersChanged;
+    MembersChanged = recordDaemon(Item) || MembersChanged;
   if (MembersChanged)
     refreshMembers();
   wakeWaiters();
 }
 
-bool control_daemon::noteDaemon(const item &Item) {
+bool control_daemon::recordDaemon(const item &Item) {
   const std::string Kind = splitKey(Item.Key).Kind;
   if (Kind != kinds::Control && Kind != kinds::Gateway && Kind != kinds::Entry)
     return false;
@@ -161,9 +162,9 @@
       Records.contains(Name) && Records[Name].OperationId == OperationId;
 }
 
-/// Life signs come from the daemons' own calls, so a frozen daemon of a live
-/// instance is found too.
-void control_daemon::noteLife(const std::string &Kind) {
+/// Liveness is derived from the daemons' own calls, so a frozen daemon on a
+/// live instance is detected too.
+void control_daemon::recordLiveness(const std::string &Kind) {
   LastSeen[Kind] = currentInstant();
 }
 
@@ -172,7 +173,7 @@
   const instant Now = currentInstant();
   for (const auto &[Kind, Seen] : LastSeen) {
     const std::string Key = objectKey(Kind, Settings.Instance);
-    if (Now - Seen < LifeSign && Records.contains(Key))
+    if (Now - Seen < LivenessTimeout && Records.contains(Key))
       Names.push_back(Key);
   }
   if (Names.size() == Members.Own.size())
@@ -191,7 +192,7 @@
     if (!Down.contains(Member))
       logLine(log_level::Warn, "member suspected", {{"member", Member}});
   Down = std::move(Now);
-  // Makes the waiting polls, and the next ones, return at once.
+  // Waiting polls and all later ones return at once.
   ++Sequence;
   refreshMembers();
   wakeWaiters();
@@ -219,7 +220,7 @@
 control_daemon::handleChanges(const std::string &Daemon,
                               std::uint64_t AskedEpoch,
                               std::uint64_t AskedSequence, duration Wait) {
-  noteLife(Daemon);
+  recordLiveness(Daemon);
   if (AskedEpoch != Epoch || AskedSequence < Sequence)
     return collect(AskedEpoch, AskedSequence);
   auto Paf = kj::newPromiseAndFulfiller<void>();
@@ -230,25 +231,25 @@
       });
 }
 
-kj::Promise<update_answer>
+kj::Promise<update_response>
 control_daemon::handleUpdate(const item &Item, std::int64_t BaseVersion) {
-  auto Paf = kj::newPromiseAndCrossThreadFulfiller<update_answer>();
-  auto Fulfiller =
-      std::make_shared<kj::Own<kj::CrossThreadPromiseFulfiller<update_answer>>>(
-          kj::mv(Paf.fulfiller));
+  auto Paf = kj::newPromiseAndCrossThreadFulfiller<update_response>();
+  auto Fulfiller = std::make_shared<
+      kj::Own<kj::CrossThreadPromiseFulfiller<update_response>>>(
+      kj::mv(Paf.fulfiller));
   Workers.submit([this, Item, BaseVersion, Fulfiller] {
     platform_client Client(Settings.Control.Platform);
     const result<std::int64_t> Version =
         Item.Deleted ? Client.remove(Item.Key, BaseVersion)
                      : Client.put(Item.Key, Item.Value, BaseVersion);
-    update_answer Answer;
+    update_response Answer;
     if (Version)
       Answer = {update_result::Written, *Version};
     else if (Version.error().Code == error_code::Conflict)
       Answer.Result = update_result::Conflict;
     (*Fulfiller)->fulfill(kj::mv(Answer));
   });
-  return Paf.promise.then([this, Item](update_answer Answer) {
+  return Paf.promise.then([this, Item](update_response Answer) {
     if (Answer.Result == update_result::Written) {
       item Written = Item;
       Written.Version = Answer.Version;
--- a/Services/Control/control_daemon.h
+++ b/Services/Control/control_daemon.h
@@ -1,4 +1,5 @@
-/// One instance's link to the platform and to the other controls.
+/// Connects one instance to the platform and to the controls of other
+/// instances.
 #pragma once
 
 #include "Http/http.h"
@@ -22,7 +23,7 @@
 
 namespace amaranthhoist {
 
-/// Changes since a sequence number, as a local daemon asks for them.
+/// Changes since a sequence number, as returned to a polling local daemon.
 struct change_batch {
   std::uint64_t Epoch = 0;
   std::uint64_t Sequence = 0;
@@ -30,8 +31,8 @@
   std::vector<std::string> Down;
 };
 
-/// Answer to a conditional update.
-struct update_answer {
+/// Response to a conditional update.
+struct update_response {
   update_result Result = update_result::Uncertain;
   std::int64_t Version = 0;
 };
@@ -42,16 +43,16 @@
   ~control_daemon();
 
   result<bool> start();
-  /// Unregisters; the other daemons have left before.
-  void leave();
+  /// Unregisters. The other daemons of the instance must have shut down before.
+  void shutDown();
 
   // On the loop's thread:
   kj::Promise<change_batch> handleChanges(const std::string &Daemon,
                                           std::uint64_t Epoch,
                                           std::uint64_t Sequence,
                                           duration Wait);
-  kj::Promise<update_answer> handleUpdate(const item &Item,
-                                          std::int64_t BaseVersion);
+  kj::Promise<update_response> handleUpdate(const item &Item,
+                                            std::int64_t BaseVersion);
   void handleAnnounce(const std::vector<item> &Items);
   void handleReplica(const std::string &From, const replica_message &Message);
   void handleProbe(const std::string &From, const membership_message &Message);
@@ -63,8 +64,9 @@
   void send(const std::vector<outgoing_replica_message> &Messages);
   void send(const std::vector<outgoing_membership_message> &Messages);
   std::string addressOf(const std::string &Member) const;
-  /// Whether \p Item registers or removes a daemon; notes it.
-  bool noteDaemon(const item &Item);
+  /// Records \p Item when it registers or removes a daemon, and returns whether
+  /// it does.
+  bool recordDaemon(const item &Item);
   void refreshMembers();
   void refreshOwnMembers();
   void tick();
@@ -73,7 +75,7 @@
   bool shouldWatch() const;
   void watchPlatform();
   void registerSelf();
-  void noteLife(const std::string &Kind);
+  void recordLiveness(const std::string &Kind);
 
   instance_settings Settings;
   std::string Name;
--- a/Services/Control/control_server.cpp
+++ b/Services/Control/control_server.cpp
@@ -37,7 +37,7 @@
   const item Item{toString(Params.getKey()), 0, Params.getDeleted(),
                   toString(Params.getValue())};
   return Daemon.handleUpdate(Item, Params.getBaseVersion())
-      .then([Context](update_answer Answer) mutable {
+      .then([Context](update_response Answer) mutable {
         Context.getResults().setResult(resultToWire(Answer.Result));
         Context.getResults().setVersion(Answer.Version);
       });
--- a/Services/Control/control_server.h
+++ b/Services/Control/control_server.h
@@ -1,4 +1,4 @@
-/// The control's interface towards local daemons, other controls and the
+/// The control's RPC interface for local daemons, other controls and the
 /// command line.
 #pragma once
 
--- a/Services/Control/main.cpp
+++ b/Services/Control/main.cpp
@@ -1,4 +1,4 @@
-// amaranthhoist-control: an instance's link to the platform and its peers.
+// amaranthhoist-control: connects an instance to the platform and to its peers.
 
 #include "Daemon/daemon.h"
 #include "control_daemon.h"
@@ -9,7 +9,7 @@
   control_daemon Daemon(Settings);
   TRY(Daemon.start());
   waitForStop();
-  Daemon.leave();
+  Daemon.shutDown();
   std::_Exit(exit_codes::Success);
 }
 
--- a/Services/Control/platform_watch.cpp
+++ b/Services/Control/platform_watch.cpp
@@ -1,4 +1,4 @@
-// The control's watch of the platform, its registration and its reports.
+// The control's platform watch, its registration and its reports.
 
 #include "Logging/logging.h"
 #include "control_daemon.h"
@@ -9,10 +9,10 @@
 namespace amaranthhoist {
 
 static constexpr std::int64_t WatchWaitMs = 10'000;
-static constexpr auto WatchPause = std::chrono::milliseconds(250);
+static constexpr auto WatchRetryDelay = std::chrono::milliseconds(250);
 
-/// The first few live controls of each region by name watch; the others get
-/// everything from them. A call to the platform per node would not scale.
+/// The first few live controls of each region, by name, watch the platform; the
+/// others receive all objects from them. One watch per node would not scale.
 bool control_daemon::shouldWatch() const {
   std::int64_t Before = 0;
   for (const auto &[Key, Record] : Records) {
@@ -32,7 +32,7 @@
     Loop.run([&] { Watch = shouldWatch(); });
     Watching = Watch;
     if (!Watch) {
-      std::this_thread::sleep_for(WatchPause);
+      std::this_thread::sleep_for(WatchRetryDelay);
       continue;
     }
     const result<watch_result> Result = Client.watch(Revision, WatchWaitMs);
@@ -41,7 +41,7 @@
       logLine(Up ? log_level::Info : log_level::Warn,
               Up ? "platform reached" : "platform lost");
     if (!Up) {
-      std::this_thread::sleep_for(WatchPause);
+      std::this_thread::sleep_for(WatchRetryDelay);
       continue;
     }
     Revision = std::max(Revision.load(), Result->Revision);
