--- a/Libraries/Http/http.h
+++ b/Libraries/Http/http.h
@@ -115,7 +115,7 @@
 };
 
 /// Whether the peer has closed its side of \p Socket.
-bool peerHasLeft(int Socket);
+bool hasPeerDisconnected(int Socket);
 
 /// How a call ended, as far as the client can determine.
 enum class call_end : std::uint8_t {
--- a/Libraries/Http/server.cpp
+++ b/Libraries/Http/server.cpp
@@ -21,7 +21,7 @@
   return Found == Headers.end() ? std::string() : Found->second;
 }
 
-bool peerHasLeft(int Socket) {
+bool hasPeerDisconnected(int Socket) {
   if (Socket < 0)
     return false;
   char Byte = 0;
--- a/Services/Entry/caller_exchange.cpp
+++ b/Services/Entry/caller_exchange.cpp
@@ -208,7 +208,7 @@
   while (!Request->Changed.wait_for(Guard, DisconnectCheckPeriod,
                                     [&] { return Request->Done; })) {
     Guard.unlock();
-    const bool Left = peerHasLeft(Head.Socket);
+    const bool Left = hasPeerDisconnected(Head.Socket);
     if (Left) {
       Ended = true;
       Daemon.onCallerDisconnected(Request);
