--- a/Utilities/amaranthhoist/context.cpp
+++ b/Utilities/amaranthhoist/context.cpp
@@ -13,13 +13,14 @@
 
 using json = nlohmann::ordered_json;
 
-static constexpr duration CallLimit = std::chrono::milliseconds(2'000);
+static constexpr duration RpcTimeout = std::chrono::milliseconds(2'000);
 static constexpr auto WaitStep = std::chrono::milliseconds(50);
-/// Controls that an accepted change is handed to before it's called accepted:
-/// with two, one may die at once and the change still spreads although the
-/// platform goes away in the same moment.
-static constexpr std::size_t AnnounceTo = 2;
-/// Name of the field that tells whose write it was after a lost answer.
+/// Number of controls that should acknowledge a change that the platform has
+/// accepted. With two, the change still spreads if one of them crashes
+/// immediately and the platform becomes unreachable at the same time.
+static constexpr std::size_t MinAnnouncedControls = 2;
+/// Field that identifies the writer of an object, so that a write whose
+/// response was lost can be recognized.
 static constexpr const char *OperationField = "operation_id";
 
 void printTable(const table_row &Head, const std::vector<table_row> &Rows) {
@@ -52,12 +53,12 @@
   }
   std::ifstream Stream(Name);
   if (!Stream)
-    return fail(error_code::NotFound, Name + ": can't be read");
+    return fail(error_code::NotFound, Name + ": cannot be read");
   Text << Stream.rdbuf();
   return Text.str();
 }
 
-/// Runs one RPC on the loop and waits for it.
+/// Runs one RPC on the loop and blocks until it completes or times out.
 template <typename Result, typename Make>
 static result<Result> callBlocking(rpc_loop &Loop, const std::string &Address,
                                    Make MakeCall) {
@@ -65,11 +66,11 @@
   auto Future = Reply->get_future();
   Loop.run([&] {
     kj::Promise<Result> Call = MakeCall();
-    Loop.keep(Loop.within(CallLimit, kj::mv(Call))
+    Loop.keep(Loop.within(RpcTimeout, kj::mv(Call))
                   .then([Reply](Result Value) { Reply->set_value(Value); },
                         [Reply, Address](kj::Exception &&) {
                           Reply->set_value(fail(error_code::Unavailable,
-                                                Address + ": no answer"));
+                                                Address + ": no response"));
                         }));
   });
   return Future.get();
@@ -91,7 +92,7 @@
     if (auto Status = controlStatus(Address))
       return Status;
   return fail(error_code::Unavailable,
-              "no control answers; name others with --control");
+              "no control responded; specify other addresses with --control");
 }
 
 result<std::vector<fleet_client::member>>
@@ -136,13 +137,13 @@
 
 std::size_t fleet_client::announce(const item &Item) {
   std::vector<std::string> Addresses = Controls;
-  if (const auto Known = members(kinds::Control))
-    for (const member &Member : *Known)
+  if (const auto Members = members(kinds::Control))
+    for (const member &Member : *Members)
       if (Member.Up)
         Addresses.push_back(Member.Address);
-  std::size_t Taken = 0;
+  std::size_t Announced = 0;
   for (const std::string &Address : Addresses) {
-    if (Taken >= AnnounceTo)
+    if (Announced >= MinAnnouncedControls)
       break;
     const auto Done = callBlocking<bool>(Loop, Address, [&] {
       auto Request = Loop.peer<wire::Control>(Address).announceRequest();
@@ -150,14 +151,14 @@
       return Request.send().then(
           [](capnp::Response<wire::Control::AnnounceResults>) { return true; });
     });
-    Taken += Done ? 1 : 0;
+    Announced += Done ? 1 : 0;
   }
-  return Taken;
+  return Announced;
 }
 
-/// Two values side by side, field by field.
-static std::string differenceOf(const std::string &Ours,
-                                const std::string &Theirs) {
+/// Lists the fields in which two JSON values differ, one per line.
+static std::string describeDifference(const std::string &Ours,
+                                      const std::string &Theirs) {
   const json Left = json::parse(Ours, nullptr, false);
   const json Right = json::parse(Theirs, nullptr, false);
   std::string Text;
@@ -172,8 +173,8 @@
   return Text.empty() ? "  (no difference)\n" : Text;
 }
 
-static std::string stamped(const std::string &Value,
-                           const std::string &Operation) {
+static std::string addOperationId(const std::string &Value,
+                                  const std::string &Operation) {
   json Document = json::parse(Value, nullptr, false);
   if (!Document.is_object())
     return Value;
@@ -181,17 +182,18 @@
   return Document.dump();
 }
 
-/// After a lost answer: whether the object now in force is our write.
-static result<std::int64_t> settleUncertain(platform_client &Client,
-                                            const std::string &Key,
-                                            const std::string &Operation) {
+/// Called when the response to a write was lost. Reads the object back and
+/// returns its version if it carries the ID of this operation.
+static result<std::int64_t>
+resolveUncertainWrite(platform_client &Client, const std::string &Key,
+                      const std::string &Operation) {
   const item Item = TRY(Client.get(Key));
   const json Document = json::parse(Item.Value, nullptr, false);
   if (Document.is_object() && Document.value(OperationField, "") == Operation)
     return Item.Version;
   return fail(error_code::Uncertain,
-              "the platform's answer was lost and the object in force isn't "
-              "this change; look at it before trying again");
+              "the platform's answer was lost and the object in force is not "
+              "this change; inspect it before retrying");
 }
 
 result<std::int64_t> writeObject(const command_context &Context,
@@ -201,27 +203,31 @@
   const result<item> Current = Client.get(Key);
   if (!Current && Current.error().Code != error_code::NotFound)
     return tl::unexpected(Current.error());
-  const std::int64_t Known = Current ? Current->Version : 0;
-  const std::int64_t Base = Context.Base >= 0 ? Context.Base : Known;
+  const std::int64_t CurrentVersion = Current ? Current->Version : 0;
+  const std::int64_t Base = Context.Base >= 0 ? Context.Base : CurrentVersion;
   const std::string Operation = makeOperationId();
-  const std::string Stamped = Deleted ? "" : stamped(Value, Operation);
+  const std::string ValueWithId =
+      Deleted ? "" : addOperationId(Value, Operation);
   result<std::int64_t> Version =
-      Deleted ? Client.remove(Key, Base) : Client.put(Key, Stamped, Base);
+      Deleted ? Client.remove(Key, Base) : Client.put(Key, ValueWithId, Base);
   if (!Version && Version.error().Code == error_code::Uncertain && !Deleted)
-    Version = settleUncertain(Client, Key, Operation);
+    Version = resolveUncertainWrite(Client, Key, Operation);
   if (!Version && Version.error().Code == error_code::Conflict) {
     const result<item> Theirs = Client.get(Key);
     return fail(error_code::Conflict,
-                Key + " was changed by somebody else since version " +
+                Key + " was changed by another writer since version " +
                     std::to_string(Base) + ":\n" +
-                    (Theirs ? differenceOf(Value, Theirs->Value)
+                    (Theirs ? describeDifference(Value, Theirs->Value)
                             : "  it was deleted\n"));
   }
   const std::int64_t Accepted = TRY(std::move(Version));
-  const std::size_t Taken = Fleet.announce({Key, Accepted, Deleted, Stamped});
-  if (Taken < AnnounceTo)
-    std::cerr << "accepted as version " << Accepted << ", but handed to "
-              << Taken << " controls only; the others get it by their watch\n";
+  const std::size_t Announced =
+      Fleet.announce({Key, Accepted, Deleted, ValueWithId});
+  if (Announced < MinAnnouncedControls)
+    std::cerr << "accepted as version " << Accepted << ", but only "
+              << Announced
+              << " controls acknowledged it; the others receive it through "
+                 "their watch\n";
   return Accepted;
 }
 
--- a/Utilities/amaranthhoist/contract_commands.cpp
+++ b/Utilities/amaranthhoist/contract_commands.cpp
@@ -9,7 +9,8 @@
 
 using json = nlohmann::ordered_json;
 
-/// Prints the version and, if asked for, waits until it's in force everywhere.
+/// Prints the accepted version. With --wait, first waits until every control
+/// holds it, and fails with the list of lagging instances otherwise.
 static result<bool> reportAccepted(command_context &Context,
                                    fleet_client &Fleet, const std::string &Key,
                                    std::int64_t Version) {
@@ -37,9 +38,9 @@
 }
 
 static result<bool> applyContract(command_context &Context) {
-  if (Context.Words.size() != 2)
+  if (Context.Arguments.size() != 2)
     return fail(error_code::Invalid, "usage: contract apply FILE");
-  const std::string Text = TRY(readFile(Context.Words[1]));
+  const std::string Text = TRY(readFile(Context.Arguments[1]));
   const contract Contract = TRY(parseContract(Text));
   fleet_client Fleet(Context.Controls);
   const std::string Key = objectKey(kinds::Contract, Contract.Customer);
@@ -49,20 +50,20 @@
 }
 
 static result<bool> deleteContract(command_context &Context) {
-  if (Context.Words.size() != 2)
+  if (Context.Arguments.size() != 2)
     return fail(error_code::Invalid, "usage: contract delete CUSTOMER");
   fleet_client Fleet(Context.Controls);
-  const std::string Key = objectKey(kinds::Contract, Context.Words[1]);
+  const std::string Key = objectKey(kinds::Contract, Context.Arguments[1]);
   const std::int64_t Version = TRY(writeObject(Context, Fleet, Key, "", true));
   return reportAccepted(Context, Fleet, Key, Version);
 }
 
 static result<bool> getContract(command_context &Context) {
-  if (Context.Words.size() != 2)
+  if (Context.Arguments.size() != 2)
     return fail(error_code::Invalid, "usage: contract get CUSTOMER");
   platform_client Client(Context.Platform);
   const item Item =
-      TRY(Client.get(objectKey(kinds::Contract, Context.Words[1])));
+      TRY(Client.get(objectKey(kinds::Contract, Context.Arguments[1])));
   json Document = json::parse(Item.Value, nullptr, false);
   Document.erase("operation_id");
   if (Context.Output == output_format::Json)
@@ -101,9 +102,9 @@
 }
 
 static result<bool> diffContract(command_context &Context) {
-  if (Context.Words.size() != 2)
+  if (Context.Arguments.size() != 2)
     return fail(error_code::Invalid, "usage: contract diff FILE");
-  const std::string Text = TRY(readFile(Context.Words[1]));
+  const std::string Text = TRY(readFile(Context.Arguments[1]));
   const contract Ours = TRY(parseContract(Text));
   platform_client Client(Context.Platform);
   const item Item = TRY(Client.get(objectKey(kinds::Contract, Ours.Customer)));
@@ -115,14 +116,15 @@
     if (Right[Field] != Value)
       Rows.push_back({Field, Right[Field].dump(), Value.dump()});
   if (Rows.empty())
-    std::cout << "no difference to version " << Item.Version << "\n";
+    std::cout << "no difference from version " << Item.Version << "\n";
   else
     printTable({"FIELD", "IN FORCE", "FILE"}, Rows);
   return true;
 }
 
 result<bool> runContract(command_context &Context) {
-  const std::string Action = Context.Words.empty() ? "" : Context.Words[0];
+  const std::string Action =
+      Context.Arguments.empty() ? "" : Context.Arguments[0];
   if (Action == "apply")
     return applyContract(Context);
   if (Action == "delete")
--- a/Utilities/amaranthhoist/fleet_commands.cpp
+++ b/Utilities/amaranthhoist/fleet_commands.cpp
@@ -7,7 +7,7 @@
 
 using json = nlohmann::ordered_json;
 
-/// Work and room of one site, summed over its gateways.
+/// Load and free capacity of one site, summed over its gateways.
 struct site_summary {
   std::string Region;
   std::int64_t CapMw = 0;
@@ -53,14 +53,14 @@
   addTargets(Node, Site);
 }
 
-/// Asks all gateways. \p Silent gets those that don't answer.
+/// Polls all gateways. Adds those that do not respond to \p Unreachable.
 static result<std::map<std::string, site_summary>>
-summarize(fleet_client &Fleet, std::vector<std::string> &Silent) {
+summarize(fleet_client &Fleet, std::vector<std::string> &Unreachable) {
   std::map<std::string, site_summary> Sites;
   for (const auto &Gateway : TRY(Fleet.members(kinds::Gateway))) {
     const auto Status = Fleet.gatewayStatus(Gateway.Address);
     if (!Status || !Status->contains("nodes")) {
-      Silent.push_back(Gateway.Instance);
+      Unreachable.push_back(Gateway.Instance);
       continue;
     }
     for (const json &Node : (*Status)["nodes"])
@@ -76,8 +76,8 @@
 
 static void printSites(const command_context &Context,
                        const std::map<std::string, site_summary> &Sites,
-                       const std::vector<std::string> &Silent) {
-  json All = {{"sites", json::array()}, {"silent_gateways", Silent}};
+                       const std::vector<std::string> &Unreachable) {
+  json All = {{"sites", json::array()}, {"silent_gateways", Unreachable}};
   std::vector<table_row> Rows;
   for (const auto &[Name, Site] : Sites) {
     const std::int64_t Draw = Site.IdleMw + Site.UsedMw;
@@ -103,22 +103,23 @@
   printTable({"SITE", "REGION", "DRAW W", "CAP W", "HEADROOM W", "IN PROGRESS",
               "GATEWAYS", "STATE"},
              Rows);
-  for (const std::string &Instance : Silent)
-    std::cout << "no answer from gateway " << Instance
-              << ": its part is missing above\n";
+  for (const std::string &Instance : Unreachable)
+    std::cout << "no response from gateway " << Instance
+              << ": its share is missing from the table above\n";
 }
 
 result<bool> runSite(command_context &Context) {
-  const std::string Action = Context.Words.empty() ? "" : Context.Words[0];
+  const std::string Action =
+      Context.Arguments.empty() ? "" : Context.Arguments[0];
   fleet_client Fleet(Context.Controls);
   if (Action == "status") {
-    std::vector<std::string> Silent;
-    const auto Sites = TRY(summarize(Fleet, Silent));
-    printSites(Context, Sites, Silent);
+    std::vector<std::string> Unreachable;
+    const auto Sites = TRY(summarize(Fleet, Unreachable));
+    printSites(Context, Sites, Unreachable);
     return true;
   }
-  if (Action == "apply" && Context.Words.size() == 2) {
-    const std::string Text = TRY(readFile(Context.Words[1]));
+  if (Action == "apply" && Context.Arguments.size() == 2) {
+    const std::string Text = TRY(readFile(Context.Arguments[1]));
     const site_settings Site = TRY(parseSite(Text));
     const std::string Key = objectKey(kinds::Site, Site.Name);
     const std::int64_t Version =
@@ -130,10 +131,10 @@
 }
 
 result<bool> runTarget(command_context &Context) {
-  if (Context.Words.size() != 2 || Context.Words[0] != "apply")
+  if (Context.Arguments.size() != 2 || Context.Arguments[0] != "apply")
     return fail(error_code::Invalid, "usage: target apply FILE");
   fleet_client Fleet(Context.Controls);
-  const std::string Text = TRY(readFile(Context.Words[1]));
+  const std::string Text = TRY(readFile(Context.Arguments[1]));
   const target_settings Target = TRY(parseTarget(Text));
   const std::string Key = objectKey(kinds::Target, Target.Name);
   const std::int64_t Version =
@@ -143,7 +144,7 @@
 }
 
 result<bool> runInstance(command_context &Context) {
-  if (Context.Words.empty() || Context.Words[0] != "status")
+  if (Context.Arguments.empty() || Context.Arguments[0] != "status")
     return fail(error_code::Invalid, "usage: instance status");
   fleet_client Fleet(Context.Controls);
   const json Status = TRY(Fleet.status());
@@ -166,15 +167,16 @@
   return true;
 }
 
-/// What a site's load needs elsewhere, and whether it's there.
+/// Compares the busy slots of the drained site with the free slots of all other
+/// sites that are not draining. Returns one line per service that lacks slots.
 static std::vector<std::string>
-shortfallOf(const std::map<std::string, site_summary> &Sites,
-            const std::string &Drained) {
+findShortfall(const std::map<std::string, site_summary> &Sites,
+              const std::string &Drained) {
   std::vector<std::string> Short;
-  auto Leaving = Sites.find(Drained);
-  if (Leaving == Sites.end())
+  auto DrainedSite = Sites.find(Drained);
+  if (DrainedSite == Sites.end())
     return Short;
-  for (const auto &[Service, Busy] : Leaving->second.Busy) {
+  for (const auto &[Service, Busy] : DrainedSite->second.Busy) {
     std::int64_t Free = 0;
     for (const auto &[Name, Site] : Sites) {
       auto Found = Site.Free.find(Service);
@@ -183,39 +185,40 @@
     }
     if (Busy > Free)
       Short.push_back(Service + ": " + std::to_string(Busy) +
-                      " slots in use here, " + std::to_string(Free) +
-                      " free elsewhere, short by " +
+                      " slots in use at this site, " + std::to_string(Free) +
+                      " free at other sites, short by " +
                       std::to_string(Busy - Free));
   }
   return Short;
 }
 
 static result<drain_record> parseSubject(const command_context &Context) {
-  if (Context.Words.size() != 3)
+  if (Context.Arguments.size() != 3)
     return fail(error_code::Invalid,
                 "usage: drain start|cancel target|site|instance NAME");
-  const json Document = {{"subject", Context.Words[1]},
-                         {"name", Context.Words[2]}};
+  const json Document = {{"subject", Context.Arguments[1]},
+                         {"name", Context.Arguments[2]}};
   return parseDrain(Document.dump());
 }
 
 static std::string drainKey(const command_context &Context) {
-  return objectKey(kinds::Drain, Context.Words[1] + "-" + Context.Words[2]);
+  return objectKey(kinds::Drain,
+                   Context.Arguments[1] + "-" + Context.Arguments[2]);
 }
 
 static result<bool> startDrain(command_context &Context) {
   const drain_record Drain = TRY(parseSubject(Context));
   fleet_client Fleet(Context.Controls);
   if (Drain.Subject == drain_subject::Site) {
-    std::vector<std::string> Silent;
-    const auto Sites = TRY(summarize(Fleet, Silent));
-    const std::vector<std::string> Short = shortfallOf(Sites, Drain.Name);
+    std::vector<std::string> Unreachable;
+    const auto Sites = TRY(summarize(Fleet, Unreachable));
+    const std::vector<std::string> Short = findShortfall(Sites, Drain.Name);
     for (const std::string &Line : Short)
-      std::cerr << "doesn't fit: " << Line << "\n";
+      std::cerr << "insufficient capacity: " << Line << "\n";
     if (!Short.empty() && !Context.Force)
       return fail(error_code::Conflict,
-                  "not started; --force starts it all the same, and what "
-                  "doesn't fit is refused");
+                  "drain not started; --force starts it anyway, and requests "
+                  "beyond the remaining capacity are refused");
   }
   const std::int64_t Version = TRY(writeObject(
       Context, Fleet, drainKey(Context), formatDrain(Drain), false));
@@ -223,17 +226,17 @@
   return true;
 }
 
-/// Work in progress under one drain.
-static std::int64_t workUnder(const drain_record &Drain,
-                              const std::vector<json> &Statuses) {
+/// Counts the requests in progress on the subject of \p Drain.
+static std::int64_t countDrainingWork(const drain_record &Drain,
+                                      const std::vector<json> &Statuses) {
   std::int64_t Count = 0;
   for (const json &Status : Statuses) {
     for (const json &Node : Status["nodes"]) {
-      const bool Whole = (Drain.Subject == drain_subject::Site &&
-                          Node["site"] == Drain.Name) ||
-                         (Drain.Subject == drain_subject::Instance &&
-                          Status["instance"] == Drain.Name);
-      if (Whole)
+      const bool WholeNode = (Drain.Subject == drain_subject::Site &&
+                              Node["site"] == Drain.Name) ||
+                             (Drain.Subject == drain_subject::Instance &&
+                              Status["instance"] == Drain.Name);
+      if (WholeNode)
         Count += Node["in_progress"].get<std::int64_t>();
       else if (Drain.Subject == drain_subject::Target &&
                Node.contains("targets") && Node["targets"].contains(Drain.Name))
@@ -258,7 +261,7 @@
     const result<drain_record> Drain = parseDrain(Item.Value);
     if (!Drain)
       continue;
-    const std::int64_t Left = workUnder(*Drain, Statuses);
+    const std::int64_t Left = countDrainingWork(*Drain, Statuses);
     All.push_back({{"drain", splitKey(Item.Key).Name},
                    {"in_progress", Left},
                    {"drained", Left == 0}});
@@ -273,7 +276,8 @@
 }
 
 result<bool> runDrain(command_context &Context) {
-  const std::string Action = Context.Words.empty() ? "" : Context.Words[0];
+  const std::string Action =
+      Context.Arguments.empty() ? "" : Context.Arguments[0];
   if (Action == "start")
     return startDrain(Context);
   if (Action == "status")
@@ -290,9 +294,9 @@
 }
 
 result<bool> runExplain(command_context &Context) {
-  if (Context.Words.size() == 1)
+  if (Context.Arguments.size() == 1)
     return explainRequest(Context);
-  if (Context.Words.size() != 2)
+  if (Context.Arguments.size() != 2)
     return fail(error_code::Invalid,
                 "usage: explain REQUEST, or explain CUSTOMER SERVICE");
   fleet_client Fleet(Context.Controls);
@@ -300,18 +304,18 @@
     http_client Client;
     http_call Call;
     Call.Url = "http://" + Entry.Address +
-               "/v1/explain?customer=" + Context.Words[0] +
-               "&service=" + Context.Words[1];
+               "/v1/explain?customer=" + Context.Arguments[0] +
+               "&service=" + Context.Arguments[1];
     Call.TimeoutMs = 2'000;
     const http_call_result Result = Client.call(Call);
     if (Result.End != call_end::Complete || Result.Status != 200)
       continue;
     const json Document = json::parse(Result.Body, nullptr, false);
-    std::cout << "# as seen by the entry of " << Entry.Instance << "\n"
+    std::cout << "# current view of the entry of " << Entry.Instance << "\n"
               << Document.dump(2) << "\n";
     return true;
   }
-  return fail(error_code::Unavailable, "no entry answers");
+  return fail(error_code::Unavailable, "no entry responded");
 }
 
 } // namespace amaranthhoist
--- a/Utilities/amaranthhoist/main.cpp
+++ b/Utilities/amaranthhoist/main.cpp
@@ -1,4 +1,4 @@
-// amaranthhoist: the operators' command line.
+// amaranthhoist: the command line for operators.
 
 #include "Daemon/daemon.h"
 #include "context.h"
@@ -27,33 +27,33 @@
   drain status | drain cancel target|site|instance NAME
   site status | site apply FILE | target apply FILE
   instance status
-  status                       what nodes believe, and how old it is
+  status                       state of each node, and the age of that state
   explain REQUEST [--log FILE,...]
-                               from nodes' logs: a request's story and cause
-  explain CUSTOMER SERVICE     where a request would go, and why
-  settings check FILE          of a node, or of the three daemons
+                               steps and causes of a request, from node logs
+  explain CUSTOMER SERVICE     where a request would be routed, and why
+  settings check FILE          validate settings of a node or of the three daemons
 
-Exit codes: 0 done, 1 failed, 2 wrong usage or a faulty file.
+Exit codes: 0 success, 1 failure, 2 usage error or invalid file.
 )";
 
 static cxxopts::Options makeOptions() {
   cxxopts::Options Options("amaranthhoist",
-                           "Operators' command line of amaranthhoist.");
+                           "Command line of amaranthhoist for operators.");
   Options.add_options()(
-      "platform", "base address of the platform's object API",
+      "platform", "base URL of the platform's object API",
       cxxopts::value<std::string>()->default_value("http://127.0.0.1:9000"),
-      "URL")("control", "controls to ask, ip:port, comma between",
+      "URL")("control", "controls to query, comma-separated ip:port",
              cxxopts::value<std::vector<std::string>>()->default_value(
                  "127.0.0.1:9300"),
-             "LIST")("output", "table or json",
+             "LIST")("output", "output format: table or json",
                      cxxopts::value<std::string>()->default_value("table"))(
-      "wait", "wait until in force everywhere")(
-      "wait-ms", "longest wait",
+      "wait", "wait until the change is in force at every control")(
+      "wait-ms", "maximum time to wait, in milliseconds",
       cxxopts::value<std::int64_t>()->default_value("10000"))(
-      "base", "version that the change is based on",
+      "base", "version that the change is based on; -1: the current version",
       cxxopts::value<std::int64_t>()->default_value("-1"))(
-      "force", "start a drain that doesn't fit")(
-      "log", "logs to read, comma between; none: standard input",
+      "force", "start a drain even if the remaining capacity is insufficient")(
+      "log", "log files to read, comma-separated; default: standard input",
       cxxopts::value<std::vector<std::string>>(),
       "FILES")("version", "print the version")("h,help", "print this help")(
       "words", "", cxxopts::value<std::vector<std::string>>());
@@ -75,18 +75,19 @@
   if (Parsed["output"].as<std::string>() == "json")
     Context.Output = output_format::Json;
   if (Parsed.count("words") != 0)
-    Context.Words = Parsed["words"].as<std::vector<std::string>>();
+    Context.Arguments = Parsed["words"].as<std::vector<std::string>>();
   return Context;
 }
 
 static int runCommand(command_context Context) {
-  const std::string Name = Context.Words.empty() ? "" : Context.Words[0];
+  const std::string Name =
+      Context.Arguments.empty() ? "" : Context.Arguments[0];
   auto Command = commands().find(Name);
   if (Command == commands().end()) {
-    std::cerr << "amaranthhoist: no such command; see --help\n";
+    std::cerr << "amaranthhoist: unknown command; see --help\n";
     return exit_codes::Usage;
   }
-  Context.Words.erase(Context.Words.begin());
+  Context.Arguments.erase(Context.Arguments.begin());
   const result<bool> Result = Command->second(Context);
   if (Result)
     return exit_codes::Success;
--- a/Utilities/amaranthhoist/node_commands.cpp
+++ b/Utilities/amaranthhoist/node_commands.cpp
@@ -1,5 +1,5 @@
-/// Commands about nodes: what they believe, what became of a request, and
-/// whether a settings file is sound.
+/// Commands about nodes: their status, the trace of one request, and the check
+/// of a settings file.
 #include "Http/http.h"
 #include "NodeSettings/node_settings.h"
 #include "RequestTrace/request_trace.h"
@@ -11,10 +11,11 @@
 
 using ordered_json = nlohmann::ordered_json;
 
-/// A node answers from memory; one that takes longer is in trouble itself.
+/// A node serves its status from memory, so a slower response means that the
+/// node itself is unhealthy.
 static constexpr std::int64_t StatusTimeoutMs = 2'000;
 
-static void takeLines(std::string_view Text, trace_reader &Reader) {
+static void addLines(std::string_view Text, trace_reader &Reader) {
   while (!Text.empty()) {
     const std::size_t End = Text.find('\n');
     Reader.take(Text.substr(0, End));
@@ -31,36 +32,37 @@
 }
 
 result<bool> explainRequest(const command_context &Context) {
-  trace_reader Reader(Context.Words[0]);
+  trace_reader Reader(Context.Arguments[0]);
   std::vector<std::string> Files = Context.Logs;
   if (Files.empty())
     Files.emplace_back("-");
   for (const std::string &File : Files)
-    takeLines(TRY(readFile(File)), Reader);
+    addLines(TRY(readFile(File)), Reader);
   if (Reader.unreadable() > 0)
-    std::cerr << "left out " << Reader.unreadable()
-              << " lines that are no log lines\n";
+    std::cerr << "skipped " << Reader.unreadable()
+              << " lines that are not log lines\n";
   const request_trace Trace = makeTrace(Reader);
   if (Context.Output == output_format::Json)
     std::cout << encodeTrace(Trace).dump(2) << "\n";
   else
     std::cout << describe(Trace);
   if (Trace.Steps.empty())
-    return fail(error_code::NotFound, "no line names this request");
+    return fail(error_code::NotFound, "no log line refers to this request");
   return true;
 }
 
-static result<ordered_json> askStatus(const std::string &Address) {
+static result<ordered_json> fetchStatus(const std::string &Address) {
   http_client Client;
   http_call Call;
   Call.Url = "http://" + Address + "/v1/status";
   Call.TimeoutMs = StatusTimeoutMs;
   const http_call_result Result = Client.call(Call);
   if (Result.End != call_end::Complete || Result.Status != 200)
-    return fail(error_code::Unavailable, Address + ": no answer");
+    return fail(error_code::Unavailable, Address + ": no response");
   ordered_json Status = ordered_json::parse(Result.Body, nullptr, false);
   if (!Status.is_object())
-    return fail(error_code::Invalid, Address + ": no status of a node");
+    return fail(error_code::Invalid,
+                Address + ": response is not a node status");
   return Status;
 }
 
@@ -72,15 +74,15 @@
 }
 
 result<bool> runStatus(command_context &Context) {
-  if (!Context.Words.empty())
+  if (!Context.Arguments.empty())
     return fail(error_code::Invalid, "usage: status [--control LIST]");
   std::vector<table_row> Rows;
   ordered_json All = ordered_json::array();
-  std::size_t Silent = 0;
+  std::size_t Unreachable = 0;
   for (const std::string &Address : Context.Controls) {
-    const result<ordered_json> Status = askStatus(Address);
+    const result<ordered_json> Status = fetchStatus(Address);
     if (!Status) {
-      ++Silent;
+      ++Unreachable;
       std::cerr << Status.error().Message << "\n";
       continue;
     }
@@ -97,21 +99,22 @@
     printTable({"INSTANCE", "READY", "VERSION", "FOR MS", "FROM", "AGE MS",
                 "LIST SURE", "USABLE", "SERVERS", "PEERS DOWN"},
                Rows);
-  if (Silent > 0)
+  if (Unreachable > 0)
     return fail(error_code::Unavailable,
-                std::to_string(Silent) + " of the nodes asked gave no status");
+                std::to_string(Unreachable) +
+                    " of the queried nodes returned no status");
   return true;
 }
 
 result<bool> runSettings(command_context &Context) {
-  if (Context.Words.size() != 2 || Context.Words[0] != "check")
+  if (Context.Arguments.size() != 2 || Context.Arguments[0] != "check")
     return fail(error_code::Invalid, "usage: settings check FILE");
-  const std::string &File = Context.Words[1];
+  const std::string &File = Context.Arguments[1];
   if (isNodeSettings(TRY(readSettingsFile(File))))
     TRY(loadNodeSettings(File));
   else
     TRY(loadSettings(File));
-  std::cout << File << ": no faults\n";
+  std::cout << File << ": valid\n";
   return true;
 }
 
