--- a/Utilities/Caller/caller.cpp
+++ b/Utilities/Caller/caller.cpp
@@ -10,12 +10,12 @@
 namespace amaranthhoist {
 
 static constexpr std::int64_t DeadlineMs = 15'000;
-static constexpr int MaxTries = 40;
-static constexpr int RefusalsPerKey = 3;
-static constexpr int RefusalsInRow = 10;
+static constexpr int MaxAttempts = 40;
+static constexpr int MaxRefusalsPerKey = 3;
+static constexpr int MaxConsecutiveRefusals = 10;
 static constexpr std::int64_t MaxPauseMs = 400;
 
-std::vector<request_kind> mixOf(const std::string &Deployment) {
+std::vector<request_kind> requestMixFor(const std::string &Deployment) {
   if (Deployment == "mandap")
     return {{"enquiry", "enquiry-desk", "GET", "/dates", false, 0, 0, 60},
             {"hold", "enquiry-desk", "POST", "/holds", true, 0, 0, 15},
@@ -35,7 +35,7 @@
 
 bool caller::refreshLookup(const std::string &Service) {
   lookup &Lookup = Lookups[Service];
-  if (currentWallMs() < Lookup.GoodUntilMs && !Lookup.Addresses.empty())
+  if (currentWallMs() < Lookup.ExpiresAtMs && !Lookup.Addresses.empty())
     return true;
   const std::string &Entry = Entries[Random() % Entries.size()];
   http_call Call;
@@ -51,13 +51,13 @@
   for (const auto &Item : Document["entries"])
     Lookup.Addresses.push_back(Item["address"].get<std::string>());
   Lookup.Home = Document["home"].get<std::string>();
-  Lookup.GoodUntilMs =
+  Lookup.ExpiresAtMs =
       currentWallMs() +
       std::min<std::int64_t>(Document["ttl_ms"].get<std::int64_t>(), 2'000);
   return !Lookup.Addresses.empty();
 }
 
-std::string caller::nextKey(const std::string &Service) {
+std::string caller::makeKey(const std::string &Service) {
   const std::string &Home = Lookups[Service].Home;
   if (Home.empty())
     return {};
@@ -70,7 +70,7 @@
                               bool &BytesRight) {
   const lookup &Lookup = Lookups[Kind.Service];
   const std::string &Entry =
-      Lookup.Addresses[Turn++ %
+      Lookup.Addresses[NextEntry++ %
                        std::min<std::size_t>(2, Lookup.Addresses.size())];
   http_call Call;
   Call.Method = Kind.Method;
@@ -88,7 +88,8 @@
   if (Kind.Method != "GET")
     Call.Body = "body-of-" + Id;
   Call.TimeoutMs = DeadlineMs + 2'000;
-  // A caller of non-idempotent work doesn't want its library's own repeats.
+  // A new connection prevents the HTTP library from retrying a
+  // non-idempotent request by itself.
   Call.FreshConnection = Kind.Keyed;
   const std::string Name = Kind.Path + "/" + Id;
   int Status = 0;
@@ -105,8 +106,8 @@
   return Clients[Entry].call(Call);
 }
 
-bool caller::contentIsRight(const request_kind &Kind, const std::string &Id,
-                            const http_call_result &Result) const {
+bool caller::isContentCorrect(const request_kind &Kind, const std::string &Id,
+                              const http_call_result &Result) const {
   const auto Document = nlohmann::json::parse(Result.Body, nullptr, false);
   if (!Document.is_object())
     return false;
@@ -128,18 +129,19 @@
 void caller::request(const request_kind &Kind) {
   const std::string Id = Customer + "-" + std::to_string(++Serial);
   std::string Key;
-  // Copies of the key that were refused, while no other was under way.
-  int OnlyRefused = 0;
-  int RefusedInRow = 0;
-  for (int Try = 0; Try < MaxTries; ++Try) {
+  // Number of refused attempts with the current key; -1 once an attempt ended
+  // otherwise, since that attempt may have been executed.
+  int RefusedAttempts = 0;
+  int ConsecutiveRefusals = 0;
+  for (int Attempt = 0; Attempt < MaxAttempts; ++Attempt) {
     if (!refreshLookup(Kind.Service)) {
       std::this_thread::sleep_for(std::chrono::milliseconds(50));
       continue;
     }
     if (Kind.Keyed && Key.empty())
-      Key = nextKey(Kind.Service);
+      Key = makeKey(Kind.Service);
     if (Kind.Keyed && Key.empty()) {
-      Lookups[Kind.Service].GoodUntilMs = 0;
+      Lookups[Kind.Service].ExpiresAtMs = 0;
       std::this_thread::sleep_for(std::chrono::milliseconds(50));
       continue;
     }
@@ -147,30 +149,30 @@
     std::int64_t BytesSeen = 0;
     bool BytesRight = true;
     const http_call_result Result = send(Kind, Id, Key, BytesSeen, BytesRight);
-    const double Took =
+    const double ElapsedMs =
         std::chrono::duration<double, std::milli>(currentInstant() - Begin)
             .count();
     std::string Outcome = headerOr(Result.Headers, "x-amaranthhoist-outcome");
     if (Result.End != call_end::Complete)
       Outcome = "broken";
-    record(Kind, Outcome, Took);
+    record(Kind, Outcome, ElapsedMs);
     {
       const std::lock_guard Guard(Report.Lock);
       if (Kind.Keyed)
         Report.Keys[Key] = {Outcome, Kind.Name};
-      // Without a connection there was no answer that could be cut.
+      // Without a connection there was no response that could be truncated.
       if (Result.End == call_end::Broken && Kind.Bytes > 0) {
         ++Report.Truncated;
-        Report.Notes.push_back(Kind.Name + " " + Id + " cut after " +
+        Report.Notes.push_back(Kind.Name + " " + Id + " truncated after " +
                                std::to_string(BytesSeen) +
                                " bytes: " + Result.Error);
       }
       if (Result.Body.find("the deadline has passed") != std::string::npos)
-        ++Report.OnlyAtDeadline;
+        ++Report.AfterDeadline;
       const bool Right = Kind.Bytes > 0 ? BytesRight && BytesSeen == Kind.Bytes
-                                        : contentIsRight(Kind, Id, Result);
+                                        : isContentCorrect(Kind, Id, Result);
       if (Outcome == "answered" && !Right) {
-        ++Report.Wrong;
+        ++Report.WrongContent;
         Report.Notes.push_back(Kind.Name + " " + Id + " wrong: status " +
                                std::to_string(Result.Status) + " " +
                                Result.Body.substr(0, 100));
@@ -178,35 +180,38 @@
     }
     if (Outcome == "answered")
       return;
-    // Told that it was not run: a new key from a new look-up. The same when
-    // every copy sent was refused, since none of them went any further: the
-    // key's home may be gone for good. Anything else keeps its key.
-    OnlyRefused =
-        Outcome == "refused" && OnlyRefused >= 0 ? OnlyRefused + 1 : -1;
-    RefusedInRow = Outcome == "refused" ? RefusedInRow + 1 : 0;
-    // An earlier copy may have run and the home is gone: unknown for good.
-    if (Kind.Keyed && OnlyRefused < 0 && RefusedInRow >= RefusalsInRow) {
+    // An outcome of not-run allows a new key from a new look-up. So do
+    // refusals of every attempt, since none of them was executed and the key's
+    // home may be removed permanently. Any other outcome keeps its key.
+    RefusedAttempts =
+        Outcome == "refused" && RefusedAttempts >= 0 ? RefusedAttempts + 1 : -1;
+    ConsecutiveRefusals = Outcome == "refused" ? ConsecutiveRefusals + 1 : 0;
+    // An earlier attempt may have been executed and the home is not reachable
+    // any more: the outcome stays unknown.
+    if (Kind.Keyed && RefusedAttempts < 0 &&
+        ConsecutiveRefusals >= MaxConsecutiveRefusals) {
       const std::lock_guard Guard(Report.Lock);
       Report.Keys[Key].Outcome = "unknown";
       return;
     }
-    if (Outcome == "not-run" || OnlyRefused >= RefusalsPerKey) {
+    if (Outcome == "not-run" || RefusedAttempts >= MaxRefusalsPerKey) {
       Key.clear();
-      OnlyRefused = 0;
+      RefusedAttempts = 0;
     }
-    if (Outcome != "refused" || OnlyRefused == 0)
-      Lookups[Kind.Service].GoodUntilMs = 0;
+    if (Outcome != "refused" || RefusedAttempts == 0)
+      Lookups[Kind.Service].ExpiresAtMs = 0;
     const std::int64_t Pause =
         std::atoll(headerOr(Result.Headers, "x-retry-after-ms").c_str());
     std::this_thread::sleep_for(std::chrono::milliseconds(
         std::clamp<std::int64_t>(Pause, 10, MaxPauseMs)));
   }
   const std::lock_guard Guard(Report.Lock);
-  // Unknown to the end is a final answer too; silence isn't.
+  // A last outcome of unknown is a final response; no response is not.
   if (Kind.Keyed && Report.Keys[Key].Outcome == "unknown")
     return;
   ++Report.Lost;
-  Report.Notes.push_back(Kind.Name + " " + Id + " never got an answer");
+  Report.Notes.push_back(Kind.Name + " " + Id +
+                         " never received a final response");
 }
 
 } // namespace amaranthhoist
--- a/Utilities/Caller/caller.h
+++ b/Utilities/Caller/caller.h
@@ -1,6 +1,6 @@
-/// Callers of the quickstart: a fixed mix of requests, each answer checked by
-/// content, and at the end what callers were told against what the backend
-/// stand-ins executed.
+/// Callers of the quickstart. They send a fixed mix of requests and verify the
+/// content of each response. At the end, the outcomes reported to the callers
+/// are compared with the executions recorded by the backend stand-ins.
 #pragma once
 
 #include "Http/http.h"
@@ -22,71 +22,71 @@
   std::string Path;
   /// Non-idempotent: sent under an idempotency key.
   bool Keyed = false;
-  /// Length of a streamed answer; 0: a short one.
+  /// Length of a streamed response in bytes; 0: a short response.
   std::int64_t Bytes = 0;
   std::int64_t DurationMs = 0;
-  /// Part of the mix, by weight.
+  /// Relative frequency in the mix.
   int Weight = 1;
 };
 
-/// The kinds that a deployment's callers use.
-std::vector<request_kind> mixOf(const std::string &Deployment);
+/// Returns the request kinds that the callers of \p Deployment send.
+std::vector<request_kind> requestMixFor(const std::string &Deployment);
 
-/// What a caller was told last of one key.
-struct told_outcome {
+/// The last outcome reported to a caller for one idempotency key.
+struct reported_outcome {
   std::string Outcome;
   std::string Kind;
 };
 
-/// Counts and times of one kind.
+/// Outcome counts and latencies of one request kind.
 struct kind_report {
   std::vector<double> Milliseconds;
   std::map<std::string, std::int64_t> Outcomes;
-  /// Longest wait for an answer of each outcome.
+  /// Longest time until a response, by outcome.
   std::map<std::string, double> LongestMs;
 };
 
-/// Everything the callers saw. Shared between their threads.
+/// Results of all callers. Shared between their threads.
 struct caller_report {
   std::mutex Lock;
   std::map<std::string, kind_report> Kinds;
-  std::map<std::string, told_outcome> Keys;
-  /// Whole answers with wrong content.
-  std::int64_t Wrong = 0;
-  /// Bodies that ended short.
+  std::map<std::string, reported_outcome> Keys;
+  /// Complete responses with wrong content.
+  std::int64_t WrongContent = 0;
+  /// Bodies that ended early.
   std::int64_t Truncated = 0;
-  /// Final answers that came only when the deadline had passed.
-  std::int64_t OnlyAtDeadline = 0;
-  /// Requests that never got a final answer.
+  /// Final responses that arrived only after the deadline had passed.
+  std::int64_t AfterDeadline = 0;
+  /// Requests that never received a final response.
   std::int64_t Lost = 0;
   std::vector<std::string> Notes;
 };
 
-/// One caller on one thread.
+/// One caller. Used by a single thread.
 class caller {
 public:
   caller(std::vector<std::string> Entries, std::string Customer,
          std::uint64_t Seed, caller_report &Report);
 
-  /// Makes one request of \p Kind and waits for its end.
+  /// Sends one request of \p Kind, with retries, and waits until it completes.
   void request(const request_kind &Kind);
 
 private:
   struct lookup {
     std::vector<std::string> Addresses;
     std::string Home;
-    std::int64_t GoodUntilMs = 0;
+    std::int64_t ExpiresAtMs = 0;
   };
 
   bool refreshLookup(const std::string &Service);
-  std::string nextKey(const std::string &Service);
+  std::string makeKey(const std::string &Service);
   http_call_result send(const request_kind &Kind, const std::string &Id,
                         const std::string &Key, std::int64_t &BytesSeen,
                         bool &BytesRight);
   void record(const request_kind &Kind, const std::string &Outcome,
               double Milliseconds);
-  bool contentIsRight(const request_kind &Kind, const std::string &Id,
-                      const http_call_result &Result) const;
+  bool isContentCorrect(const request_kind &Kind, const std::string &Id,
+                        const http_call_result &Result) const;
 
   std::vector<std::string> Entries;
   std::string Customer;
@@ -95,13 +95,15 @@
   std::map<std::string, lookup> Lookups;
   std::map<std::string, http_client> Clients;
   std::uint64_t Serial = 0;
-  std::size_t Turn = 0;
+  std::size_t NextEntry = 0;
 };
 
-/// Compares what callers were told with what stand-ins executed; prints;
-/// returns whether nothing was lost, doubled, truncated or run against its
-/// word. With \p AllowCut a body may be cut in sight of its caller, as when a
-/// process on its way dies; it may still not pass for whole.
+/// Compares the outcomes reported to callers with the executions of the backend
+/// stand-ins and prints the result. Returns false if a request was lost,
+/// executed twice, truncated, or executed although it was reported as not run.
+/// With \p AllowCut, a body may be truncated if the caller can detect it, as
+/// when a process on the path crashes; a truncated body must still not be
+/// accepted as complete.
 bool checkAndPrint(caller_report &Report,
                    const std::vector<std::string> &Backends, bool AllowCut);
 
--- a/Utilities/Caller/check.cpp
+++ b/Utilities/Caller/check.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// What the backend stand-ins counted, over all of them.
+/// Executions and violations counted by all backend stand-ins together.
 struct execution_count {
   std::map<std::string, std::int64_t> ByKey;
   std::int64_t Overloads = 0;
   std::int64_t AfterDrain = 0;
-  std::int64_t Silent = 0;
+  std::int64_t Unreachable = 0;
 };
 
 } // namespace
@@ -28,7 +28,7 @@
     const http_call_result Result = Client.call(Call);
     const auto Report = nlohmann::json::parse(Result.Body, nullptr, false);
     if (Result.End != call_end::Complete || !Report.is_object()) {
-      ++Count.Silent;
+      ++Count.Unreachable;
       continue;
     }
     Count.Overloads += Report.value("overloads", 0);
@@ -44,9 +44,9 @@
   if (Values.empty())
     return 0;
   std::sort(Values.begin(), Values.end());
-  const auto Place =
+  const auto Index =
       static_cast<std::size_t>(Part * static_cast<double>(Values.size() - 1));
-  return Values[Place];
+  return Values[Index];
 }
 
 static void printKinds(caller_report &Report) {
@@ -64,15 +64,15 @@
 bool checkAndPrint(caller_report &Report,
                    const std::vector<std::string> &Backends, bool AllowCut) {
   const execution_count Count = countExecutions(Backends);
-  std::int64_t Doubled = 0;
-  std::int64_t RanAgainstWord = 0;
-  std::int64_t AnsweredUnrun = 0;
+  std::int64_t ExecutedTwice = 0;
+  std::int64_t ExecutedAfterNotRun = 0;
+  std::int64_t AnsweredNotExecuted = 0;
   for (const auto &[Key, Times] : Count.ByKey)
-    Doubled += Times > 1 ? 1 : 0;
-  for (const auto &[Key, Told] : Report.Keys) {
-    const bool Ran = Count.ByKey.contains(Key);
-    RanAgainstWord += Told.Outcome == "not-run" && Ran ? 1 : 0;
-    AnsweredUnrun += Told.Outcome == "answered" && !Ran ? 1 : 0;
+    ExecutedTwice += Times > 1 ? 1 : 0;
+  for (const auto &[Key, Reported] : Report.Keys) {
+    const bool Executed = Count.ByKey.contains(Key);
+    ExecutedAfterNotRun += Reported.Outcome == "not-run" && Executed ? 1 : 0;
+    AnsweredNotExecuted += Reported.Outcome == "answered" && !Executed ? 1 : 0;
   }
   printKinds(Report);
   for (const auto &[Name, Kind] : Report.Kinds)
@@ -82,20 +82,22 @@
                     Outcome.c_str(), Ms);
   for (const std::string &Note : Report.Notes)
     std::printf("note: %s\n", Note.c_str());
-  std::printf("%ld lost, %ld doubled, %ld truncated, %ld wrong, "
-              "%ld run though told not run, %ld told answered but not run, "
-              "%ld sent past a target's slots, %ld sent after a drain, "
-              "%ld answered only at the deadline\n",
-              long(Report.Lost), long(Doubled), long(Report.Truncated),
-              long(Report.Wrong), long(RanAgainstWord), long(AnsweredUnrun),
-              long(Count.Overloads), long(Count.AfterDrain),
-              long(Report.OnlyAtDeadline));
-  if (Count.Silent != 0)
-    std::printf("%ld backend stand-ins gave no report\n", long(Count.Silent));
+  std::printf("%ld lost, %ld executed twice, %ld truncated, %ld wrong, "
+              "%ld executed but reported as not run, "
+              "%ld reported as answered but not executed, "
+              "%ld sent beyond a target's slots, %ld sent after a drain, "
+              "%ld completed only after the deadline\n",
+              long(Report.Lost), long(ExecutedTwice), long(Report.Truncated),
+              long(Report.WrongContent), long(ExecutedAfterNotRun),
+              long(AnsweredNotExecuted), long(Count.Overloads),
+              long(Count.AfterDrain), long(Report.AfterDeadline));
+  if (Count.Unreachable != 0)
+    std::printf("%ld backend stand-ins gave no report\n",
+                long(Count.Unreachable));
   const std::int64_t Cut = AllowCut ? 0 : Report.Truncated;
-  return Report.Lost + Doubled + Cut + Report.Wrong + RanAgainstWord +
-             AnsweredUnrun + Report.OnlyAtDeadline + Count.Overloads +
-             Count.AfterDrain + Count.Silent ==
+  return Report.Lost + ExecutedTwice + Cut + Report.WrongContent +
+             ExecutedAfterNotRun + AnsweredNotExecuted + Report.AfterDeadline +
+             Count.Overloads + Count.AfterDrain + Count.Unreachable ==
          0;
 }
 
--- a/Utilities/Caller/main.cpp
+++ b/Utilities/Caller/main.cpp
@@ -1,4 +1,5 @@
-// quickstart-caller: callers of one deployment for some seconds, then a check.
+// quickstart-caller: runs the callers of one deployment for some seconds and
+// then checks the outcomes.
 
 #include "Daemon/daemon.h"
 #include "Timers/timers.h"
@@ -27,7 +28,7 @@
 static int runCallers(const cxxopts::ParseResult &Parsed) {
   const auto Entries = Parsed["entries"].as<std::vector<std::string>>();
   const auto Backends = Parsed["backends"].as<std::vector<std::string>>();
-  const auto Mix = mixOf(Parsed["deployment"].as<std::string>());
+  const auto Mix = requestMixFor(Parsed["deployment"].as<std::string>());
   const auto Until =
       currentInstant() + std::chrono::seconds(Parsed["seconds"].as<int>());
   const int Pause = Parsed["pause-ms"].as<int>();
@@ -52,17 +53,19 @@
 
 int main(int ArgumentCount, char **Arguments) {
   cxxopts::Options Options("quickstart-caller", "Callers of the quickstart.");
-  Options.add_options()("deployment", "mandap or jegyzet",
+  Options.add_options()("deployment", "deployment name: mandap or jegyzet",
                         cxxopts::value<std::string>())(
-      "entries", "ip:port, comma between",
+      "entries", "addresses of entries, comma-separated ip:port",
       cxxopts::value<std::vector<std::string>>())(
-      "backends", "ip:port, comma between",
+      "backends", "addresses of backend stand-ins, comma-separated ip:port",
       cxxopts::value<std::vector<std::string>>())(
-      "seconds", "how long", cxxopts::value<int>()->default_value("10"))(
-      "pause-ms", "between a caller's requests",
+      "seconds", "duration of the run in seconds",
+      cxxopts::value<int>()->default_value("10"))(
+      "pause-ms", "pause between the requests of a caller",
       cxxopts::value<int>()->default_value("20"))(
-      "callers", "threads", cxxopts::value<int>()->default_value("20"))(
-      "allow-cut", "bodies may be cut, when a process is to die");
+      "callers", "number of callers, one thread each",
+      cxxopts::value<int>()->default_value("20"))(
+      "allow-cut", "tolerate truncated bodies, for runs that kill a process");
   try {
     return runCallers(Options.parse(ArgumentCount, Arguments));
   } catch (const cxxopts::exceptions::exception &Exception) {
