--- a/Utilities/BackendStandIn/backend_server.cpp
+++ b/Utilities/BackendStandIn/backend_server.cpp
@@ -15,10 +15,12 @@
 static constexpr auto ConnectionCost = std::chrono::milliseconds(1);
 static constexpr auto ProbeCost = std::chrono::milliseconds(6);
 static constexpr auto WorkStep = std::chrono::milliseconds(2);
-/// Executions reported after a drain began count from here on.
+/// Executions that start later than this after the start of a drain are counted
+/// in after_drain.
 static constexpr std::int64_t DrainGraceMs = 3'000;
-/// The answer to the order to go down is written within this.
-static constexpr auto DownDelay = std::chrono::milliseconds(50);
+/// Delay before a simulated outage, so that the response to /control is written
+/// first.
+static constexpr auto OutageDelay = std::chrono::milliseconds(50);
 
 void site_meter::add(std::int64_t Milliwatts) {
   const std::int64_t Now = DrawMilliwatts += Milliwatts;
@@ -27,8 +29,8 @@
     continue;
 }
 
-/// A request that holds a slot. The slot is given back once, when the work
-/// ends or its connection does.
+/// A request that occupies a slot. The slot is released exactly once, when the
+/// work ends or its connection closes.
 struct backend_server::running_work {
   backend_server *Owner = nullptr;
   std::size_t Execution = 0;
@@ -46,7 +48,7 @@
 
 namespace {
 
-/// Reads the body, then executes.
+/// Reads the complete body, then executes the request.
 class backend_exchange final : public http_exchange {
 public:
   backend_exchange(backend_server &Server, http_head Head)
@@ -104,7 +106,7 @@
   return Response;
 }
 
-void backend_server::payForConnection(int Socket) {
+void backend_server::simulateConnectionCost(int Socket) {
   {
     const std::lock_guard Guard(Lock);
     if (!SeenSockets.insert(Socket).second)
@@ -116,21 +118,21 @@
 std::unique_ptr<http_response> backend_server::execute(const http_head &Head,
                                                        std::string Body) {
   if (Head.Path == "/control")
-    return std::make_unique<http_response>(control(Head));
+    return std::make_unique<http_response>(handleControl(Head));
   if (Head.Path == "/report")
     return make(200, reportJson());
   if (isDead())
     return cutConnection();
-  payForConnection(Head.Socket);
+  simulateConnectionCost(Head.Socket);
   if (Head.Path == "/health" && Options.HasProbe)
-    return std::make_unique<http_response>(health(Head));
+    return std::make_unique<http_response>(handleHealth(Head));
   if (Head.Method == "DELETE" && Head.Path.starts_with("/requests/"))
     return std::make_unique<http_response>(
-        cancel(Head.Path.substr(std::string("/requests/").size())));
-  return work(Head, std::move(Body));
+        handleCancel(Head.Path.substr(std::string("/requests/").size())));
+  return handleWork(Head, std::move(Body));
 }
 
-http_response backend_server::health(const http_head &) {
+http_response backend_server::handleHealth(const http_head &) {
   std::this_thread::sleep_for(ProbeCost);
   const std::lock_guard Guard(Lock);
   http_response Response;
@@ -140,7 +142,7 @@
   return Response;
 }
 
-http_response backend_server::cancel(const std::string &RequestId) {
+http_response backend_server::handleCancel(const std::string &RequestId) {
   std::shared_ptr<running_work> Work;
   {
     const std::lock_guard Guard(Lock);
@@ -157,7 +159,7 @@
   return Response;
 }
 
-bool backend_server::takeFault(std::int64_t backend_faults::*Fault) {
+bool backend_server::consumeFault(std::int64_t backend_faults::*Fault) {
   const std::lock_guard Guard(Lock);
   if (Faults.*Fault <= 0)
     return false;
@@ -183,8 +185,8 @@
                                    : std::atoll(Found->second.c_str());
 }
 
-std::unique_ptr<http_response> backend_server::work(const http_head &Head,
-                                                    std::string Body) {
+std::unique_ptr<http_response> backend_server::handleWork(const http_head &Head,
+                                                          std::string Body) {
   auto Work = std::make_shared<running_work>();
   Work->RequestId = headerOr(Head.Headers, "x-request-id");
   Work->DeadlineMs =
@@ -215,7 +217,7 @@
                           currentWallMs(), 0, false});
     Running[Work->RequestId] = Work;
     PeakBusy = std::max(PeakBusy, ++Busy);
-    // Cold at first: the first requests take longer.
+    // Cold start: the first request of each slot takes longer.
     SlowMs = Faults.SlowMs + (Started++ < Options.Slots ? Options.WorkMs : 0);
   }
   Meter.add(Options.SlotMilliwatts);
@@ -223,7 +225,7 @@
   const std::int64_t WorkMs = argumentOr(Head, "work_ms", Options.WorkMs);
   auto Response = make(200);
   if (Bytes > 0) {
-    Response = stream(Work, Bytes, argumentOr(Head, "duration_ms", 0));
+    Response = makeStream(Work, Bytes, argumentOr(Head, "duration_ms", 0));
   } else {
     const std::int64_t End = currentWallMs() + WorkMs + SlowMs;
     while (currentWallMs() < End && !Work->Cancelled &&
@@ -235,10 +237,10 @@
         {"key", headerOr(Head.Headers, "idempotency-key")},
         {"echo", Body}}.dump();
     release(*Work, !Work->Cancelled);
-    if (takeFault(&backend_faults::LoseAnswers) || isDead())
+    if (consumeFault(&backend_faults::LoseResponses) || isDead())
       return cutConnection();
   }
-  const bool Crossed = takeFault(&backend_faults::CrossWire);
+  const bool Crossed = consumeFault(&backend_faults::CrossWire);
   Response->Headers["X-Request-Id"] =
       Crossed ? "someone-elses-request" : Work->RequestId;
   if (Draining)
@@ -247,37 +249,37 @@
 }
 
 std::unique_ptr<http_response>
-backend_server::stream(const std::shared_ptr<running_work> &Work,
-                       std::int64_t Bytes, std::int64_t DurationMs) {
+backend_server::makeStream(const std::shared_ptr<running_work> &Work,
+                           std::int64_t Bytes, std::int64_t DurationMs) {
   auto Response = make(200);
   Response->Length = Bytes;
-  const bool Truncated = takeFault(&backend_faults::Truncate);
+  const bool Truncated = consumeFault(&backend_faults::Truncate);
   const std::int64_t StartMs = currentWallMs();
-  auto Place = std::make_shared<std::int64_t>(0);
+  auto Position = std::make_shared<std::int64_t>(0);
   Response->Reader = [this, Work, Bytes, DurationMs, Truncated, StartMs,
-                      Place](std::span<char> Buffer) -> std::int64_t {
-    if (Work->Cancelled || (Truncated && *Place >= Bytes / 2) || isDead())
+                      Position](std::span<char> Buffer) -> std::int64_t {
+    if (Work->Cancelled || (Truncated && *Position >= Bytes / 2) || isDead())
       return BodyBroken;
-    if (*Place >= Bytes) {
+    if (*Position >= Bytes) {
       release(*Work, true);
       return BodyEnd;
     }
     std::int64_t Part =
-        std::min<std::int64_t>(Bytes - *Place, std::int64_t(Buffer.size()));
+        std::min<std::int64_t>(Bytes - *Position, std::int64_t(Buffer.size()));
     if (DurationMs > 0) {
-      // Evenly over its duration, in pieces.
+      // Spreads the body evenly over its duration, in pieces.
       Part =
           std::min<std::int64_t>(Part, std::max<std::int64_t>(1, Bytes / 50));
-      const std::int64_t Due = StartMs + DurationMs * (*Place) / Bytes;
+      const std::int64_t Due = StartMs + DurationMs * (*Position) / Bytes;
       const std::int64_t Now = currentWallMs();
       if (Due > Now)
         std::this_thread::sleep_for(std::chrono::milliseconds(Due - Now));
     }
     for (std::int64_t Offset = 0; Offset < Part; ++Offset)
       Buffer[static_cast<std::size_t>(Offset)] =
-          exportByte(Work->Name, *Place + Offset);
-    *Place += Part;
-    if (*Place >= Bytes)
+          exportByte(Work->Name, *Position + Offset);
+    *Position += Part;
+    if (*Position >= Bytes)
       release(*Work, true);
     return Part;
   };
@@ -289,11 +291,11 @@
   return Faults.Dead;
 }
 
-void backend_server::goDownFor(std::int64_t Milliseconds) {
+void backend_server::simulateOutage(std::int64_t Milliseconds) {
   if (Outage.joinable())
     Outage.join();
   Outage = std::thread([this, Milliseconds] {
-    std::this_thread::sleep_for(DownDelay);
+    std::this_thread::sleep_for(OutageDelay);
     {
       const std::lock_guard Guard(Lock);
       Faults.Dead = true;
@@ -303,7 +305,7 @@
     {
       const std::lock_guard Guard(Lock);
       Faults.Dead = false;
-      // Cold again, and no connection is an old one.
+      // After the restart the server is cold, and every connection is new.
       Started = 0;
       SeenSockets.clear();
     }
@@ -313,11 +315,11 @@
   });
 }
 
-http_response backend_server::control(const http_head &Head) {
+http_response backend_server::handleControl(const http_head &Head) {
   if (const std::int64_t DownMs = argumentOr(Head, "down_ms", 0); DownMs > 0)
-    goDownFor(DownMs);
+    simulateOutage(DownMs);
   const std::lock_guard Guard(Lock);
-  Faults.LoseAnswers = argumentOr(Head, "lose_answers", Faults.LoseAnswers);
+  Faults.LoseResponses = argumentOr(Head, "lose_answers", Faults.LoseResponses);
   Faults.CrossWire = argumentOr(Head, "cross_wire", Faults.CrossWire);
   Faults.Truncate = argumentOr(Head, "truncate", Faults.Truncate);
   Faults.Shed = argumentOr(Head, "shed", Faults.Shed ? 1 : 0) != 0;
--- a/Utilities/BackendStandIn/backend_server.h
+++ b/Utilities/BackendStandIn/backend_server.h
@@ -1,7 +1,7 @@
-/// One backend server as a stand-in: slots, connection limit, cost of new
-/// connections and probes, cold start, shedding, cancellation, deadlines,
-/// draining, long streamed exports, misleading reports, and a record of what it
-/// executed. For tests and trials only.
+/// Stand-in for one backend server. It simulates slots, a connection limit, the
+/// cost of new connections and probes, cold start, load shedding, cancellation,
+/// deadlines, draining, long streamed exports and misleading reports, and
+/// records its executions. For tests and trials only.
 #pragma once
 
 #include "Http/http.h"
@@ -18,38 +18,40 @@
 
 namespace amaranthhoist {
 
-/// What a test or a person has broken.
+/// Faults injected through /control.
 struct backend_faults {
-  /// Executes and cuts the connection instead of answering.
-  std::int64_t LoseAnswers = 0;
-  /// Answers with another request's id.
+  /// Number of requests that are executed, then closed without a response.
+  std::int64_t LoseResponses = 0;
+  /// Number of responses that carry the ID of another request.
   std::int64_t CrossWire = 0;
-  /// Ends streamed bodies half-way.
+  /// Number of streamed bodies that end half-way.
   std::int64_t Truncate = 0;
-  /// Says 503 and not run.
+  /// Rejects every request with 503 and X-Not-Run.
   bool Shed = false;
-  /// Says that it is leaving, in its health answer and in a header.
+  /// Announces draining in the health response and in a header of each
+  /// response.
   bool Draining = false;
-  /// Whether the header tells of draining too.
+  /// Whether work responses carry the draining header too.
   bool DrainingHeader = true;
-  /// Added to each request's time.
+  /// Added to the duration of each request.
   std::int64_t SlowMs = 0;
-  /// Accepts nothing: connections are closed at once.
+  /// Serves nothing: connections are closed immediately.
   bool Dead = false;
 };
 
-/// One execution, as the backend server itself saw it.
+/// One execution as recorded by the backend server.
 struct execution {
   std::string RequestId;
   std::string Key;
   std::string Path;
   std::int64_t StartMs = 0;
   std::int64_t EndMs = 0;
-  /// Whether it ran to its end.
+  /// Whether the execution completed, rather than being cancelled.
   bool Completed = false;
 };
 
-/// What all backend servers of one site draw together, by the site's own count.
+/// Total power drawn by all backend servers of one site, as the site itself
+/// measures it.
 struct site_meter {
   std::atomic<std::int64_t> DrawMilliwatts = 0;
   std::atomic<std::int64_t> PeakMilliwatts = 0;
@@ -74,7 +76,7 @@
 
   result<bool> start();
 
-  /// Called by its exchange, on the connection's thread.
+  /// Handles one complete request. Called on the connection's thread.
   std::unique_ptr<http_response> execute(const http_head &Head,
                                          std::string Body);
 
@@ -83,19 +85,20 @@
 private:
   struct running_work;
 
-  http_response health(const http_head &Head);
-  http_response cancel(const std::string &RequestId);
-  http_response control(const http_head &Head);
-  std::unique_ptr<http_response> work(const http_head &Head, std::string Body);
-  std::unique_ptr<http_response> stream(const std::shared_ptr<running_work> &,
-                                        std::int64_t Bytes,
-                                        std::int64_t DurationMs);
-  bool takeFault(std::int64_t backend_faults::*Fault);
+  http_response handleHealth(const http_head &Head);
+  http_response handleCancel(const std::string &RequestId);
+  http_response handleControl(const http_head &Head);
+  std::unique_ptr<http_response> handleWork(const http_head &Head,
+                                            std::string Body);
+  std::unique_ptr<http_response>
+  makeStream(const std::shared_ptr<running_work> &, std::int64_t Bytes,
+             std::int64_t DurationMs);
+  bool consumeFault(std::int64_t backend_faults::*Fault);
   void release(running_work &Work, bool Completed);
-  void payForConnection(int Socket);
-  /// As a process that dies and is started again: connections are refused or
-  /// cut for \p Milliseconds. What was counted stays, for the report.
-  void goDownFor(std::int64_t Milliseconds);
+  void simulateConnectionCost(int Socket);
+  /// Simulates a process that crashes and restarts: connections are refused or
+  /// closed for \p Milliseconds. Counters are kept for the report.
+  void simulateOutage(std::int64_t Milliseconds);
   bool isDead();
 
   backend_options Options;
--- a/Utilities/BackendStandIn/main.cpp
+++ b/Utilities/BackendStandIn/main.cpp
@@ -1,4 +1,5 @@
-// Stand-ins for the backend servers of one site, all in one process.
+// backend-stand-in: runs stand-ins for all backend servers of one site in one
+// process.
 
 #include "Daemon/daemon.h"
 #include "backend_server.h"
@@ -17,7 +18,8 @@
   for (std::string Part; std::getline(Stream, Part, ',');)
     Parts.push_back(Part);
   if (Parts.size() != 7)
-    return fail(error_code::Invalid, Text + ": must have seven parts");
+    return fail(error_code::Invalid,
+                Text + ": must have seven comma-separated parts");
   backend_options Options;
   Options.Name = Parts[0];
   Options.Address = Parts[1];
@@ -39,8 +41,8 @@
   blockStopSignals();
   site_meter Meter;
   std::vector<std::unique_ptr<backend_server>> Servers;
-  for (int Place = 1; Place < ArgumentCount; ++Place) {
-    const result<backend_options> Options = parseTarget(Arguments[Place]);
+  for (int Index = 1; Index < ArgumentCount; ++Index) {
+    const result<backend_options> Options = parseTarget(Arguments[Index]);
     if (!Options) {
       std::cerr << Options.error().Message << "\n";
       return exit_codes::Usage;
