--- a/Utilities/PlatformStandIn/main.cpp
+++ b/Utilities/PlatformStandIn/main.cpp
@@ -1,4 +1,4 @@
-// A stand-in for the platform's object API.
+// platform-stand-in: a stand-in for the platform's object API.
 
 #include "Daemon/daemon.h"
 #include "object_store.h"
--- a/Utilities/PlatformStandIn/object_store.cpp
+++ b/Utilities/PlatformStandIn/object_store.cpp
@@ -34,7 +34,7 @@
   return Text.empty() ? Default : std::atoll(Text.c_str());
 }
 
-static bool takeRate(std::deque<std::int64_t> &Recent, std::int64_t Limit) {
+static bool acquireRate(std::deque<std::int64_t> &Recent, std::int64_t Limit) {
   const std::int64_t Now = currentWallMs();
   while (!Recent.empty() && Recent.front() <= Now - 1'000)
     Recent.pop_front();
@@ -44,16 +44,17 @@
   return true;
 }
 
-bool object_store::takeCall(bool IsWrite) {
-  const bool Taken = IsWrite ? takeRate(RecentWrites, Faults.WritesPerSecond)
-                             : takeRate(RecentReads, Faults.ReadsPerSecond);
-  if (!Taken)
+bool object_store::acquireCall(bool IsWrite) {
+  const bool Allowed = IsWrite
+                           ? acquireRate(RecentWrites, Faults.WritesPerSecond)
+                           : acquireRate(RecentReads, Faults.ReadsPerSecond);
+  if (!Allowed)
     ++Counts.Limited;
   else if (IsWrite)
     ++Counts.Writes;
   else
     ++Counts.Reads;
-  return Taken;
+  return Allowed;
 }
 
 http_response object_store::handle(const http_head &Head,
@@ -66,7 +67,7 @@
     SlowMs = Faults.SlowMs;
     if (Faults.Outage)
       return reply(503, {{"error", "outage"}});
-    if (!takeCall(Head.Method != "GET"))
+    if (!acquireCall(Head.Method != "GET"))
       return reply(429, {{"error", "call rate"}});
   }
   if (SlowMs > 0)
@@ -91,7 +92,7 @@
   Set("outage", Outage);
   Faults.Outage = Outage != 0;
   Set("slow_ms", Faults.SlowMs);
-  Set("lose_answers", Faults.LoseAnswers);
+  Set("lose_answers", Faults.LoseResponses);
   Set("list_lag_ms", Faults.ListLagMs);
   Set("writes_per_second", Faults.WritesPerSecond);
   Set("reads_per_second", Faults.ReadsPerSecond);
@@ -125,7 +126,8 @@
   auto Found = Objects.find(Key);
   const std::int64_t Current =
       Found == Objects.end() ? 0 : Found->second.Version;
-  // A tombstone counts as absent, or as itself when its version is named.
+  // A tombstone matches either base version 0, as an absent object does, or its
+  // own version.
   const bool Absent = Found == Objects.end() || Found->second.Deleted;
   if (Base != Current && !(Base == 0 && Absent))
     return reply(409, {{"error", "conflict"}, {"version", Current}});
@@ -137,14 +139,15 @@
   const bool Lags = Key.starts_with("target/");
   Object.VisibleAtMs = Lags ? currentWallMs() + Faults.ListLagMs : 0;
   Changed.notify_all();
-  const bool Lost = Faults.LoseAnswers > 0;
+  const bool Lost = Faults.LoseResponses > 0;
   if (Lost)
-    --Faults.LoseAnswers;
-  const json Answer = {{"version", Object.Version}};
+    --Faults.LoseResponses;
+  const json Response = {{"version", Object.Version}};
   Guard.unlock();
   if (!Lost)
-    return reply(200, Answer);
-  // It took effect; the caller sees its connection cut.
+    return reply(200, Response);
+  // The write took effect, but the connection is closed before the response is
+  // complete.
   http_response Cut;
   Cut.Length = 100;
   Cut.Reader = [](std::span<char>) { return BodyBroken; };
@@ -177,8 +180,9 @@
     if (Faults.Outage)
       return reply(503, {{"error", "outage"}});
     const std::int64_t Now = currentWallMs();
-    json Answer = {{"revision", Revision}, {"objects", json::array()}};
-    // What still lags holds the revision back, so that it isn't skipped.
+    json Response = {{"revision", Revision}, {"objects", json::array()}};
+    // An object that is not visible yet limits the returned revision, so that
+    // the next watch does not skip it.
     std::int64_t Covered = Revision;
     for (const auto &[Key, Object] : Objects) {
       if (Object.Version <= Since)
@@ -186,11 +190,11 @@
       if (Object.VisibleAtMs > Now)
         Covered = std::min(Covered, Object.Version - 1);
       else
-        Answer["objects"].push_back(describe(Object));
+        Response["objects"].push_back(describe(Object));
     }
-    Answer["revision"] = std::max(Covered, Since);
-    if (!Answer["objects"].empty() || Now >= Until)
-      return reply(200, Answer);
+    Response["revision"] = std::max(Covered, Since);
+    if (!Response["objects"].empty() || Now >= Until)
+      return reply(200, Response);
     Changed.wait_for(Guard, std::chrono::milliseconds(
                                 std::min<std::int64_t>(Until - Now, 50)));
   }
--- a/Utilities/PlatformStandIn/object_store.h
+++ b/Utilities/PlatformStandIn/object_store.h
@@ -1,6 +1,7 @@
-/// The platform's object API as a small stand-in: versions, conditional
-/// updates, watches, call rate limits, values up to a megabyte, outages, slow
-/// answers, lost answers and a lagging list. For tests and trials only.
+/// Stand-in for the platform's object API. It supports versions, conditional
+/// updates, watches, call rate limits and values up to a megabyte, and
+/// simulates outages, slow responses, lost responses and a lagging list. For
+/// tests and trials only.
 #pragma once
 
 #include "Http/http.h"
@@ -14,15 +15,15 @@
 
 namespace amaranthhoist {
 
-/// What a test or a person has broken.
+/// Faults injected through /control.
 struct platform_faults {
-  /// Every call is answered 503.
+  /// Every call fails with 503.
   bool Outage = false;
-  /// Added to each answer.
+  /// Delay added to each response.
   std::int64_t SlowMs = 0;
-  /// So many writes take effect and lose their answers.
-  std::int64_t LoseAnswers = 0;
-  /// Writes to targets show in watches and lists this much later.
+  /// Number of writes that take effect but whose responses are lost.
+  std::int64_t LoseResponses = 0;
+  /// Delay until a write to a target becomes visible in watches and lists.
   std::int64_t ListLagMs = 0;
   /// Calls per second; 0: no limit.
   std::int64_t WritesPerSecond = 0;
@@ -34,11 +35,11 @@
   std::int64_t Version = 0;
   bool Deleted = false;
   std::string Value;
-  /// When it begins to show in watches and lists.
+  /// Time from which the object is visible in watches and lists.
   std::int64_t VisibleAtMs = 0;
 };
 
-/// Calls counted, a waiting watch as one.
+/// Number of calls. A waiting watch counts as one call.
 struct platform_counts {
   std::int64_t Reads = 0;
   std::int64_t Writes = 0;
@@ -57,7 +58,7 @@
                             const std::string &Key);
   http_response handleList(const std::string &Kind);
   http_response handleWatch(const http_head &Head);
-  bool takeCall(bool IsWrite);
+  bool acquireCall(bool IsWrite);
 
   std::mutex Lock;
   std::condition_variable Changed;
