--- a/Utilities/StandInContent/export_content.h
+++ b/Utilities/StandInContent/export_content.h
@@ -1,5 +1,5 @@
-/// Content of the backend stand-ins' exports, so that a caller can check every
-/// byte that it gets.
+/// Content of the exports streamed by the backend stand-ins. It is
+/// deterministic, so that a caller can verify every byte that it receives.
 #pragma once
 
 #include <cstdint>
@@ -7,7 +7,7 @@
 
 namespace amaranthhoist {
 
-/// The byte at \p Place of the export named \p Name.
-char exportByte(const std::string &Name, std::int64_t Place);
+/// Returns the byte at \p Offset of the export named \p Name.
+char exportByte(const std::string &Name, std::int64_t Offset);
 
 } // namespace amaranthhoist
