--- a/Utilities/Capacity/fleet_loop.cpp
+++ b/Utilities/Capacity/fleet_loop.cpp
@@ -8,8 +8,8 @@
 
 static constexpr duration ComparePeriod = std::chrono::milliseconds(1'000);
 static constexpr duration MembershipPeriod = std::chrono::milliseconds(100);
-/// Beside the message itself: Cap'n Proto's call, return and finish. Assumed,
-/// not measured (docs/CAPACITY.md).
+/// Bytes per message in addition to its own size, for Cap'n Proto's call,
+/// return and finish. Assumed, not measured (docs/CAPACITY.md).
 static constexpr std::int64_t CallOverhead = 200;
 
 static std::int64_t sizeOf(const replica_message &Message) {
@@ -40,7 +40,7 @@
 }
 
 void fleet_loop::setUp(int Node) {
-  const auto Place = static_cast<std::size_t>(Node);
+  const auto Index = static_cast<std::size_t>(Node);
   std::vector<replica_peer> Peers;
   std::set<std::string> Names;
   for (int Other = 0; Other < Options.Nodes; ++Other) {
@@ -48,53 +48,54 @@
     if (Other != Node)
       Peers.push_back({nameOf(Other), std::to_string(regionOf(Other))});
   }
-  Replicas[Place] = {};
-  Replicas[Place].Region = std::to_string(regionOf(Node));
-  Replicas[Place].Policy = Options.Policy;
-  Replicas[Place].Random.seed(Random());
+  Replicas[Index] = {};
+  Replicas[Index].Region = std::to_string(regionOf(Node));
+  Replicas[Index].Policy = Options.Policy;
+  Replicas[Index].Random.seed(Random());
   if (Options.WithReplicas)
-    setReplicaPeers(Replicas[Place], Peers);
-  Memberships[Place] = {};
-  Memberships[Place].Random.seed(Random());
+    setReplicaPeers(Replicas[Index], Peers);
+  Memberships[Index] = {};
+  Memberships[Index].Random.seed(Random());
   if (Options.WithMembership) {
-    setOwnMembers(Memberships[Place], {nameOf(Node)});
-    setMembers(Memberships[Place], Names);
+    setOwnMembers(Memberships[Index], {nameOf(Node)});
+    setMembers(Memberships[Index], Names);
   }
   startTicks(Node);
 }
 
 void fleet_loop::startTicks(int Node) {
-  const auto Place = static_cast<std::size_t>(Node);
+  const auto Index = static_cast<std::size_t>(Node);
   if (Options.WithReplicas)
-    repeat(Node, ComparePeriod,
-           [this, Node, Place] { send(Node, replicaTick(Replicas[Place])); });
+    schedulePeriodic(Node, ComparePeriod, [this, Node, Index] {
+      send(Node, replicaTick(Replicas[Index]));
+    });
   if (Options.WithMembership)
-    repeat(Node, MembershipPeriod, [this, Node, Place] {
-      send(Node, membershipTick(Memberships[Place], Now));
+    schedulePeriodic(Node, MembershipPeriod, [this, Node, Index] {
+      send(Node, membershipTick(Memberships[Index], Now));
     });
 }
 
-void fleet_loop::repeat(int Node, duration Period,
-                        const std::function<void()> &Action) {
-  const auto Place = static_cast<std::size_t>(Node);
-  const int Start = Starts[Place];
+void fleet_loop::schedulePeriodic(int Node, duration Period,
+                                  const std::function<void()> &Action) {
+  const auto Index = static_cast<std::size_t>(Node);
+  const int Start = Starts[Index];
   const auto First = static_cast<std::int64_t>(
       Random() % static_cast<std::uint64_t>(Period.count()));
-  auto Again = std::make_shared<std::function<void()>>();
-  *Again = [this, Place, Start, Period, Action, Weak = std::weak_ptr(Again)] {
-    if (!Alive[Place] || Starts[Place] != Start)
+  auto Step = std::make_shared<std::function<void()>>();
+  *Step = [this, Index, Start, Period, Action, Weak = std::weak_ptr(Step)] {
+    if (!Alive[Index] || Starts[Index] != Start)
       return;
     Action();
     if (auto Next = Weak.lock())
       at(Now + Period, [Next] { (*Next)(); });
   };
-  at(Now + duration(First), [Again] { (*Again)(); });
+  at(Now + duration(First), [Step] { (*Step)(); });
 }
 
 void fleet_loop::restart(int Node) {
-  const auto Place = static_cast<std::size_t>(Node);
-  ++Starts[Place];
-  Alive[Place] = true;
+  const auto Index = static_cast<std::size_t>(Node);
+  ++Starts[Index];
+  Alive[Index] = true;
   setUp(Node);
 }
 
@@ -124,7 +125,7 @@
 duration fleet_loop::latency(int From, int To) {
   const duration Base = regionOf(From) == regionOf(To) ? Options.WithinRegion
                                                        : Options.BetweenRegions;
-  // Up to half as long again.
+  // Adds up to 50 % of jitter.
   return Base +
          duration(static_cast<std::int64_t>(
              Random() % static_cast<std::uint64_t>(Base.count() / 2 + 1)));
--- a/Utilities/Capacity/fleet_loop.h
+++ b/Utilities/Capacity/fleet_loop.h
@@ -1,5 +1,6 @@
-/// Drives the real replica and membership logic of many nodes over in-memory
-/// links: an event queue, latencies, losses. Counts messages and bytes.
+/// Simulates a fleet: runs the production replica and membership logic of many
+/// nodes over in-memory links, with an event queue, latencies and message loss.
+/// Counts messages and bytes.
 #pragma once
 
 #include "Membership/membership.h"
@@ -27,7 +28,7 @@
   bool WithMembership = false;
 };
 
-/// What the links carried.
+/// Messages and bytes sent over the links.
 struct link_counts {
   std::int64_t Messages = 0;
   std::int64_t Bytes = 0;
@@ -41,22 +42,23 @@
 public:
   explicit fleet_loop(const fleet_options &Options);
 
-  /// Runs until \p Until.
+  /// Executes all events up to \p Until.
   void runUntil(instant Until);
   void runFor(duration Time) { runUntil(Now + Time); }
 
-  /// Calls \p Action at \p Time.
+  /// Schedules \p Action at \p Time.
   void at(instant Time, std::function<void()> Action);
 
-  /// Hands an item to \p Node, as its watch of the platform does.
+  /// Delivers an item to \p Node, as its watch of the platform does.
   void deliver(int Node, const item &Item);
-  /// As a late or repeated watch: any versions, in any order.
+  /// Delivers items of any versions in any order, as a late or repeated watch
+  /// does.
   void deliverAll(int Node, const std::vector<item> &Items);
-  /// Gives every node \p Items at no cost, to begin from.
+  /// Applies \p Items at every node as initial state, without counting traffic.
   void preload(const std::vector<item> &Items);
 
   void kill(int Node) { Alive[static_cast<std::size_t>(Node)] = false; }
-  /// Starts \p Node again with nothing.
+  /// Restarts \p Node with empty state.
   void restart(int Node);
   void cutRegion(int Region) { CutRegions.insert(Region); }
   void healRegion(int Region) { CutRegions.erase(Region); }
@@ -90,7 +92,8 @@
 
   void setUp(int Node);
   void startTicks(int Node);
-  void repeat(int Node, duration Period, const std::function<void()> &Action);
+  void schedulePeriodic(int Node, duration Period,
+                        const std::function<void()> &Action);
   bool reaches(int From, int To) const;
   duration latency(int From, int To);
   void post(int From, int To, std::function<void()> Action);
--- a/Utilities/Capacity/main.cpp
+++ b/Utilities/Capacity/main.cpp
@@ -1,4 +1,4 @@
-// capacity: prints the slopes that docs/CAPACITY.md is worked out from.
+// capacity: prints the slopes from which docs/CAPACITY.md is derived.
 
 #include "measures.h"
 
--- a/Utilities/Capacity/measure_fleet.cpp
+++ b/Utilities/Capacity/measure_fleet.cpp
@@ -1,4 +1,5 @@
-// Many nodes together: convergence, traffic, and calls to the platform.
+// Measures many nodes together: convergence, traffic, and calls to the
+// platform.
 
 #include "Budget/budget.h"
 #include "fleet_loop.h"
@@ -17,10 +18,10 @@
 
 namespace {
 
-/// How one change spread.
+/// Convergence times and traffic of one change.
 struct spread_result {
-  double HalfMs = 0;
-  double MostMs = 0;
+  double P50Ms = 0;
+  double P99Ms = 0;
   double AllMs = 0;
   double MessagesPerNode = 0;
   double BytesPerNode = 0;
@@ -39,7 +40,8 @@
   return {"contract/changed", Version, false, std::string(220, 'x')};
 }
 
-/// The watchers' long polls answer within 20 ms of the write.
+/// Delivers a write to all watchers: their long polls return within 20 ms of
+/// the write.
 static void writeAtPlatform(fleet_loop &Fleet, const item &Item) {
   for (int Watcher = 0; Watcher < Watchers; ++Watcher)
     Fleet.at(Fleet.now() + std::chrono::milliseconds(5 + Watcher % 16),
@@ -50,13 +52,13 @@
   std::sort(Times.begin(), Times.end());
   spread_result Result;
   Result.Missing = Alive - static_cast<int>(Times.size());
-  const auto Place = [&](double Part) {
+  const auto Percentile = [&](double Part) {
     return Times[static_cast<std::size_t>(
         Part * static_cast<double>(Times.size() - 1))];
   };
-  Result.HalfMs = Place(0.5);
-  Result.MostMs = Place(0.99);
-  Result.AllMs = Place(1);
+  Result.P50Ms = Percentile(0.5);
+  Result.P99Ms = Percentile(0.99);
+  Result.AllMs = Percentile(1);
   return Result;
 }
 
@@ -82,10 +84,10 @@
   writeAtPlatform(Fleet, makeItem(1));
   Fleet.runFor(std::chrono::seconds(5));
   spread_result Result = summarize(Times, Alive);
-  // What five seconds at rest cost is not the change's.
-  const double Rest = 5.0 * Options.Nodes;
+  // Excludes the idle traffic of five seconds from the cost of the change.
+  const double IdleMessages = 5.0 * Options.Nodes;
   Result.MessagesPerNode =
-      (double(Fleet.ReplicaTraffic.Messages - Before.Messages) - Rest) /
+      (double(Fleet.ReplicaTraffic.Messages - Before.Messages) - IdleMessages) /
       Options.Nodes;
   Result.BytesPerNode =
       double(Fleet.ReplicaTraffic.Bytes - Before.Bytes) / Options.Nodes;
@@ -95,11 +97,11 @@
 static void printSpread(const char *Name, const spread_result &Result) {
   std::printf("  %s: half %.0f ms, 99%% %.0f ms, all %.0f ms, missing %d, "
               "messages per node beyond rest %.2f\n",
-              Name, Result.HalfMs, Result.MostMs, Result.AllMs, Result.Missing,
+              Name, Result.P50Ms, Result.P99Ms, Result.AllMs, Result.Missing,
               Result.MessagesPerNode);
 }
 
-static void measureRest() {
+static void measureIdleTraffic() {
   std::vector<measured_point> Replica;
   std::vector<measured_point> Members;
   for (const int Nodes : {475, 950, TargetNodes}) {
@@ -129,24 +131,24 @@
   const int Victim = 1'000;
   Fleet.kill(Victim);
   const instant Begin = Fleet.now();
-  int Known = 0;
+  int Suspecting = 0;
   double FirstMs = 0;
-  while (Known < TargetNodes - 1 &&
+  while (Suspecting < TargetNodes - 1 &&
          Fleet.now() < Begin + std::chrono::seconds(30)) {
     Fleet.runFor(std::chrono::milliseconds(100));
-    Known = 0;
+    Suspecting = 0;
     for (int Node = 0; Node < TargetNodes; ++Node)
       if (Node != Victim &&
           !isUp(Fleet.membershipOf(Node), fleet_loop::nameOf(Victim)))
-        ++Known;
-    if (Known > 0 && FirstMs == 0)
+        ++Suspecting;
+    if (Suspecting > 0 && FirstMs == 0)
       FirstMs = std::chrono::duration<double, std::milli>(Fleet.now() - Begin)
                     .count();
   }
   std::printf(
       "  a dead node at %d: first suspected after %.0f ms, by %d "
       "nodes after %.0f ms\n",
-      TargetNodes, FirstMs, Known,
+      TargetNodes, FirstMs, Suspecting,
       std::chrono::duration<double, std::milli>(Fleet.now() - Begin).count());
 }
 
@@ -156,7 +158,7 @@
   Options.Regions = Regions;
   fleet_loop Fleet(Options);
   Fleet.runFor(std::chrono::seconds(1));
-  // The cut region's own watchers are cut from the platform too.
+  // The watchers in the partitioned region lose the platform as well.
   const int Cut = 3;
   Fleet.cutRegion(Cut);
   for (std::int64_t Version = 1; Version <= 300; ++Version) {
@@ -170,13 +172,13 @@
   Fleet.healRegion(Cut);
   const instant Begin = Fleet.now();
   const link_counts Before = Fleet.ReplicaTraffic;
-  const std::uint64_t Wanted = replicaRoot(Fleet.replicaOf(0));
+  const std::uint64_t ExpectedRoot = replicaRoot(Fleet.replicaOf(0));
   int Missing = 1;
   while (Missing > 0 && Fleet.now() < Begin + std::chrono::seconds(60)) {
     Fleet.runFor(std::chrono::milliseconds(50));
     Missing = 0;
     for (int Node = Cut; Node < TargetNodes; Node += Regions)
-      Missing += replicaRoot(Fleet.replicaOf(Node)) == Wanted ? 0 : 1;
+      Missing += replicaRoot(Fleet.replicaOf(Node)) == ExpectedRoot ? 0 : 1;
   }
   std::printf(
       "  region cut while 300 changes were made, re-joined: all its "
@@ -215,7 +217,7 @@
 
 void measureConvergence() {
   std::printf("many nodes\n");
-  measureRest();
+  measureIdleTraffic();
   std::vector<measured_point> All;
   std::vector<measured_point> Messages;
   for (const int Nodes : {475, 950, TargetNodes}) {
@@ -236,7 +238,8 @@
 
 namespace {
 
-/// The holders of one site's pool against a store with conditional updates.
+/// Result of one run of a pool's holders against a store with conditional
+/// updates.
 struct pool_run {
   std::int64_t Writes = 0;
   std::int64_t Conflicts = 0;
@@ -245,8 +248,9 @@
 
 } // namespace
 
-/// \p Holders gateways of a site start together; an update takes effect after a
-/// call of 5 ms, and each watcher's push brings a new record after 20 ms.
+/// Starts \p Holders gateways of a site at the same time. An update takes
+/// effect after a call of 5 ms, and a new record reaches the gateways through
+/// their watches after 20 ms.
 static pool_run startTogether(int Holders) {
   std::vector<budget_holder> Nodes(static_cast<std::size_t>(Holders));
   pool_record Store;
@@ -282,7 +286,7 @@
     if (Round % 4 == 0)
       for (budget_holder &Node : Nodes)
         observeRecord(Node, Store);
-    // Ticks every 50 ms, each node at its own time.
+    // Each node ticks every 50 ms, at its own offset.
     for (std::size_t Node = 0; Node < Nodes.size(); ++Node)
       if ((static_cast<std::size_t>(Round) + Node) % 10 == 0)
         if (auto Next = planUpdate(Nodes[Node], {}, Now))
@@ -291,9 +295,9 @@
   return Run;
 }
 
-/// Writes per second when the platform comes back to \p Holders holders that
-/// all have an update to repeat.
-static void measureReturn(int Holders) {
+/// Prints the writes per second when the platform recovers from an outage and
+/// \p Holders holders all have an update to retry.
+static void measureOutageRecovery(int Holders) {
   std::vector<budget_holder> Nodes(static_cast<std::size_t>(Holders));
   instant Now{std::chrono::seconds(1)};
   for (std::size_t Node = 0; Node < Nodes.size(); ++Node) {
@@ -305,7 +309,7 @@
   const auto Outage = std::chrono::seconds(20);
   while (Now < Begin + Outage + std::chrono::seconds(20)) {
     Now += std::chrono::milliseconds(50);
-    const bool Away = Now < Begin + Outage;
+    const bool IsOutage = Now < Begin + Outage;
     for (budget_holder &Node : Nodes) {
       const auto Next = planUpdate(Node, {}, Now);
       if (!Next)
@@ -313,9 +317,9 @@
       const auto Second =
           std::chrono::duration_cast<std::chrono::seconds>(Now - Begin);
       ++PerSecond[std::min<std::size_t>(39, std::size_t(Second.count()))];
-      updateAnswered(Node, *Next,
-                     Away ? update_result::Uncertain : update_result::Written,
-                     1, Now);
+      updateAnswered(
+          Node, *Next,
+          IsOutage ? update_result::Uncertain : update_result::Written, 1, Now);
     }
   }
   std::printf("  %d holders with an update each, platform away for 20 s; "
@@ -337,7 +341,7 @@
                 Holders, long(Run.Writes), long(Run.Conflicts), Run.DoneMs);
   }
   printSlope("writes per pool when its holders start", "writes", Writes, 3);
-  measureReturn(1'900);
+  measureOutageRecovery(1'900);
   std::printf("  at rest: %d watches of 10 s, %.1f reads/s; %d changes a day: "
               "%.2f writes/s, %.1f watch answers/s\n",
               Watchers, Watchers / 10.0, ChangesPerDay,
--- a/Utilities/Capacity/measure_state.cpp
+++ b/Utilities/Capacity/measure_state.cpp
@@ -1,4 +1,5 @@
-// State held per node: client blocks, objects, members; and decisions' cost.
+// Measures the state held per node (client blocks, objects, members) and the
+// cost of decisions.
 
 #include "measures.h"
 
@@ -16,7 +17,7 @@
 static constexpr int TargetBlocks = 2'800'000;
 static constexpr int TargetNodes = 1'900;
 static constexpr int TargetSites = 590;
-/// Contracts, sites, targets, pools and daemons at the letter's size.
+/// Number of contracts, sites, targets, pools and daemons at the required size.
 static constexpr int TargetItems = 30'000;
 
 static void fillClientMap(client_map &Map, int Blocks,
--- a/Utilities/Capacity/measures.h
+++ b/Utilities/Capacity/measures.h
@@ -1,5 +1,5 @@
-/// The measurements behind docs/CAPACITY.md. Each prints its points and a line
-/// fitted through them.
+/// The measurements behind docs/CAPACITY.md. Each prints its measured points
+/// and a line fitted to them.
 #pragma once
 
 #include <functional>
@@ -8,13 +8,12 @@
 
 namespace amaranthhoist {
 
-/// One measured point.
 struct measured_point {
   double Size = 0;
   double Value = 0;
 };
 
-/// Value = Base + PerUnit * Size, by least squares.
+/// Least-squares fit of Value = Base + PerUnit * Size.
 struct fitted_line {
   double Base = 0;
   double PerUnit = 0;
@@ -23,14 +22,15 @@
 
 fitted_line fit(const std::vector<measured_point> &Points);
 
-/// Prints points, fit and the value at \p Target.
+/// Prints the points, the fitted line and its value at \p Target.
 void printSlope(const std::string &Name, const std::string &Unit,
                 const std::vector<measured_point> &Points, double Target);
 
-/// Nanoseconds per call of \p Function, over \p Calls calls.
+/// Returns the mean duration of \p Function in nanoseconds, over \p Calls
+/// calls.
 double nanosecondsPerCall(int Calls, const std::function<void(int)> &Function);
 
-/// Bytes of heap in use.
+/// Returns the number of heap bytes in use.
 double heapBytes();
 
 void measureClientMap();
