--- a/Utilities/PathBenchmark/main.cpp
+++ b/Utilities/PathBenchmark/main.cpp
@@ -1,6 +1,7 @@
-// path-benchmark: what the path adds to a request, as ratios in one run: the
-// same request straight to a backend stand-in and through an entry and a
-// gateway; look-ups per second; memory per connection.
+// path-benchmark: measures the overhead of the path on a request, as ratios
+// within one run: the same request sent directly to a backend stand-in and
+// through an entry and a gateway. Also measures look-ups and requests per
+// second. Utilities/benchmark.sh measures the memory per connection.
 
 #include "Daemon/daemon.h"
 #include "Http/http.h"
@@ -20,8 +21,8 @@
 
 constexpr int WarmUp = 1'500;
 
-/// One measured way.
-struct way {
+/// One request as it is measured, sent directly or through the path.
+struct request_variant {
   const char *Name;
   http_call Call;
   std::vector<double> Microseconds;
@@ -35,14 +36,14 @@
                               Part * double(Values.size() - 1))];
 }
 
-void measureOnce(http_client &Client, way &Way) {
+void measureOnce(http_client &Client, request_variant &Variant) {
   const instant Begin = currentInstant();
-  const http_call_result Result = Client.call(Way.Call);
-  const duration Took = currentInstant() - Begin;
+  const http_call_result Result = Client.call(Variant.Call);
+  const duration Elapsed = currentInstant() - Begin;
   if (Result.End == call_end::Complete && Result.Status == 200)
-    Way.Microseconds.push_back(double(Took.count()));
+    Variant.Microseconds.push_back(double(Elapsed.count()));
   else
-    ++Way.Failures;
+    ++Variant.Failures;
 }
 
 std::string homeFrom(const std::string &Entry) {
@@ -55,31 +56,33 @@
   return Document.is_object() ? Document.value("home", "") : "";
 }
 
-void printWay(way &Way, way &Direct) {
-  const double Half = percentile(Way.Microseconds, 0.5);
-  const double Most = percentile(Way.Microseconds, 0.99);
+void printVariant(request_variant &Variant, request_variant &Direct) {
+  const double P50 = percentile(Variant.Microseconds, 0.5);
+  const double P99 = percentile(Variant.Microseconds, 0.99);
   std::printf("  %-26s p50 %7.0f us, p99 %7.0f us, over direct %+7.0f and "
               "%+7.0f us, ratio %.2f and %.2f, failures %d\n",
-              Way.Name, Half, Most, Half - percentile(Direct.Microseconds, 0.5),
-              Most - percentile(Direct.Microseconds, 0.99),
-              Half / percentile(Direct.Microseconds, 0.5),
-              Most / percentile(Direct.Microseconds, 0.99), Way.Failures);
+              Variant.Name, P50, P99,
+              P50 - percentile(Direct.Microseconds, 0.5),
+              P99 - percentile(Direct.Microseconds, 0.99),
+              P50 / percentile(Direct.Microseconds, 0.5),
+              P99 / percentile(Direct.Microseconds, 0.99), Variant.Failures);
 }
 
-/// Interleaved, so that whatever else the machine does falls on all alike.
+/// Interleaves the variants, so that other load on the machine affects all of
+/// them equally.
 void measureLatency(const std::string &Entry, const std::string &Backend,
                     int Count) {
-  way Direct{"direct", {}, {}};
+  request_variant Direct{"direct", {}, {}};
   Direct.Call.Url = "http://" + Backend + "/dates/1?work_ms=0";
   Direct.Call.Headers["X-Request-Id"] = "direct";
-  way Path{"through, idempotent", {}, {}};
+  request_variant Path{"through, idempotent", {}, {}};
   Path.Call.Url = "http://" + Entry + "/v1/run/enquiry-desk/dates/1?work_ms=0";
   Path.Call.Headers["X-Customer"] = "customer-1";
-  way DirectNew = Direct;
+  request_variant DirectNew = Direct;
   DirectNew.Name = "direct, new connection";
   DirectNew.Call.Method = "POST";
   DirectNew.Call.FreshConnection = true;
-  way Keyed = Path;
+  request_variant Keyed = Path;
   Keyed.Name = "through, non-idempotent";
   Keyed.Call.Method = "POST";
   http_client First;
@@ -87,7 +90,7 @@
   http_client Third;
   http_client Fourth;
   const std::string Home = homeFrom(Entry);
-  // The stand-ins are cold at first, each of their slots once.
+  // Warm-up: the first request of each slot of a stand-in is slower.
   for (int Number = 0; Number < WarmUp; ++Number)
     Second.call(Path.Call);
   for (int Number = 0; Number < Count; ++Number) {
@@ -99,10 +102,10 @@
                                             std::to_string(currentWallMs());
     measureOnce(Fourth, Keyed);
   }
-  printWay(Direct, Direct);
-  printWay(Path, Direct);
-  printWay(DirectNew, DirectNew);
-  printWay(Keyed, DirectNew);
+  printVariant(Direct, Direct);
+  printVariant(Path, Direct);
+  printVariant(DirectNew, DirectNew);
+  printVariant(Keyed, DirectNew);
 }
 
 void measureRate(const char *Name, const std::string &Url, int Threads,
@@ -130,10 +133,14 @@
 } // namespace
 
 int main(int ArgumentCount, char **Arguments) {
-  cxxopts::Options Options("path-benchmark", "What the path adds.");
-  Options.add_options()("entry", "ip:port", cxxopts::value<std::string>())(
-      "backend", "ip:port", cxxopts::value<std::string>())(
-      "count", "requests of each way",
+  cxxopts::Options Options(
+      "path-benchmark",
+      "Measures the overhead of the path through an entry and a gateway.");
+  Options.add_options()("entry", "address of an entry, ip:port",
+                        cxxopts::value<std::string>())(
+      "backend", "address of a backend stand-in, ip:port",
+      cxxopts::value<std::string>())(
+      "count", "number of requests of each variant",
       cxxopts::value<int>()->default_value("2000"));
   try {
     const auto Parsed = Options.parse(ArgumentCount, Arguments);
