--- a/Utilities/PolicyBench/main.cpp
+++ b/Utilities/PolicyBench/main.cpp
@@ -1,7 +1,8 @@
-// policy-bench: the real decisions on the seeded scheduler, at several loads,
-// healthy and with each fault, and two policies for each choice. Prints what
-// callers waited, what was done, how much of the cap was used, and how often a
-// key ended as unknown. Virtual time: the figures depend on the seeds alone.
+// policy-bench: runs the production decision logic on the seeded scheduler at
+// several loads, healthy and with each fault, and compares two policies for
+// each choice. Prints the callers' latency, the goodput, the used part of the
+// cap, and how often a key ended as unknown. Time is virtual: the figures
+// depend on the seeds alone.
 
 #include "Scheduler/world.h"
 
@@ -13,13 +14,14 @@
 
 namespace {
 
-/// Requests per second that the world's cap allows, by its mix of work.
+/// Requests per second that the simulated world's power cap allows with its mix
+/// of work.
 constexpr double CapacityPerSecond = 112;
 constexpr int Callers = 24;
 constexpr int Seeds = 8;
 constexpr double UsableMilliwatts = 80'000;
 
-/// What several seeds showed together.
+/// Results accumulated over all seeds.
 struct bench_row {
   std::vector<double> WaitMs;
   double Answered = 0;
@@ -28,7 +30,7 @@
   double Keyed = 0;
   double Unknown = 0;
   double Refused = 0;
-  /// Answers per second before the faults and in the last seconds.
+  /// Responses per second before the faults and in the last seconds.
   double Before = 0;
   double After = 0;
 };
@@ -37,7 +39,8 @@
   return std::chrono::duration<double>(Time).count();
 }
 
-/// Between the world's start-up and its callers' end.
+/// Start of the measured interval: after the world's start-up. The interval
+/// ends when the callers stop.
 constexpr instant SteadyBegin{std::chrono::seconds(101)};
 
 void addRun(const world_options &Options, bench_row &Row) {
@@ -170,7 +173,7 @@
 } // namespace
 
 int main(int ArgumentCount, char **) {
-  // With any argument, the policies alone.
+  // With any argument, runs the policy comparison only.
   if (ArgumentCount > 1) {
     printPolicies();
     return 0;
