--- a/Utilities/benchmark.sh
+++ b/Utilities/benchmark.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Latency that the path adds, look-ups and requests per second, memory per idle
-# connection, in one deployment of each user's size. Recorded results are in
-# docs/CAPACITY.md.
+# Measures the latency that the path adds, look-ups and requests per second, and
+# the memory per idle connection, in one deployment of each user's size. Recorded
+# results are in docs/CAPACITY.md.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin=$PWD/build
@@ -13,14 +13,15 @@
 ticks() { awk '{print $14 + $15}' "/proc/${pid_of[$name-$1-0]}/stat"; }
 
 deploy mandap
-# The contract's rate is split among the entries; it must not be what is measured.
+# The contract's rate is split among the entries. It is set high enough that it
+# does not limit the measurement.
 printf '{"customer":"customer-1","requests_per_second":1000000,"concurrency":100000}' >"$work/contract.json"
 $cli contract apply "$work/contract.json" --wait
 before_entry=$(ticks entry) before_gateway=$(ticks gateway)
 "$bin/path-benchmark" --entry "${entries[0]}" --backend "${backends[0]}"
 echo "  processor time of entry 0: $((($(ticks entry) - before_entry) * 10)) ms, of gateway 0: $((($(ticks gateway) - before_gateway) * 10)) ms"
 
-# Memory of idle callers' connections.
+# Memory per idle caller connection.
 resident() { awk '/VmRSS/ {print $2}' "/proc/${pid_of[$name-entry-0]}/status"; }
 address=${entries[0]%:*} port=${entries[0]#*:}
 before=$(resident)
@@ -33,7 +34,7 @@
 echo "  500 idle connections: $((($(resident) - before) * 1024 / 500)) bytes each at the entry"
 for fd in "${descriptors[@]}"; do exec {fd}>&-; done
 
-# Memory of streaming answers: slow readers of long exports.
+# Memory per streamed response, with slow readers of long exports.
 gateways_kb() {
   local n sum=0
   for ((n = 0; n < instances; ++n)); do
--- a/Utilities/check-style.sh
+++ b/Utilities/check-style.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Checks formatting and lint of everything but generated code.
+# Checks formatting and lint of all code except generated code.
 #   Utilities/check-style.sh [--fix]
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/Utilities/deployment.sh
+++ b/Utilities/deployment.sh
@@ -1,14 +1,14 @@
-# Sourced by scripts that run a whole deployment against stand-ins.
-# Needs: bin, work. Sets: sites, backends, entries, controls, cli, and the ids
-# of what it started in pids and pid_of.
+# Sourced by scripts that run a complete deployment against stand-ins.
+# Requires: bin, work. Sets: sites, backends, entries, controls, cli, and the ids
+# of the processes that it started in pids and pid_of.
 pids=()
 declare -A pid_of=()
 
-# Whether the id is that of a process started here that runs. An id that was
-# waited for is free for others, and comes round within a minute on a busy
-# machine: a signal by id alone then hits another run's process, which shows as a
-# stand-in without a report or a play that ended early. All that is started here
-# are this shell's children, and nobody else's processes are.
+# Whether the id belongs to a running process that was started here. Once a
+# process was waited for, its id may be reused, on a busy machine within a minute.
+# A signal by id alone may then hit a process of another run, which shows as a
+# stand-in without a report or a scenario that ended early. Every process started
+# here is a child of this shell, and no other process is.
 is_own() { # is_own PID
   local status=()
   [ -r "/proc/$1/status" ] && mapfile -d '' status 2>/dev/null <"/proc/$1/status" || return 1
@@ -19,24 +19,24 @@
   ! is_own "$1" || kill "-$2" "$1" 2>/dev/null || true
 }
 
-# By the name under which it was started:
+# Takes the log name under which the daemon was started.
 runs_daemon() { is_own "${pid_of[$1]}"; }
 is_gone_daemon() { ! runs_daemon "$1"; }
-# Fails when that one has ended by itself: a daemon that crashed must not pass
-# for one that was signalled.
+# Fails if the daemon has already ended by itself, so that a crashed daemon is not
+# mistaken for a signalled one.
 signal() { # signal LOGNAME SIGNAL
-  runs_daemon "$1" || { echo "$1 has ended by itself" >&2; return 1; }
+  runs_daemon "$1" || { echo "$1 ended before it was signalled" >&2; return 1; }
   kill "-$2" "${pid_of[$1]}"
 }
 
-# Ends only what was started here, by id.
+# Ends only the processes that were started here, by id.
 end_deployment() {
   local pid
   for pid in "${pids[@]:-}"; do [ -z "$pid" ] || signal_own "$pid" CONT; done
   for pid in "${pids[@]:-}"; do [ -z "$pid" ] || signal_own "$pid" KILL; done
   for pid in "${pids[@]:-}"; do [ -z "$pid" ] || wait "$pid" || true; done
   pids=()
-} 2>/dev/null # the shell's notes of what was killed
+} 2>/dev/null # Discards the shell's messages about killed processes.
 
 start() { # start LOGNAME PROGRAM ARGUMENTS...
   local log=$work/$1.log name=$1; shift
@@ -45,7 +45,7 @@
   pid_of[$name]=$!
 }
 
-# The deployments: ports, regions, services as
+# Describes the deployments: ports, regions, and services in the form
 # name:targets:slots:connections:work_ms:slot_mw:probe.
 describe() {
   case $1 in
@@ -60,7 +60,8 @@
   [ "${small:-0}" = 0 ] || instances=6
 }
 
-# Backend stand-ins: one process a site, so that the site counts its draw.
+# Starts the backend stand-ins, one process per site, so that each site measures
+# its own power draw.
 start_backends() {
   local port=$((base + 1000)) i kind count slots connections work_ms mw probe
   declare -A arguments=()
@@ -126,7 +127,8 @@
   done
 }
 
-# Waits until every entry is ready and every site's gateways hold their shares.
+# Waits until every entry is ready and the gateways of every site hold their
+# shares.
 wait_until_ready() {
   local ready=0 i
   for ((i = 0; i < 150; ++i)); do
@@ -164,7 +166,7 @@
   sleep 0.5
   load_objects
   wait_until_ready
-  # Offers reach all entries.
+  # Waits until load reports have reached all entries.
   sleep 3
 }
 
@@ -178,7 +180,7 @@
   pids+=("$callers")
 }
 
-# The sites' own count of their peak draw against their cap.
+# Compares the peak draw measured by each site with its cap.
 check_peaks() {
   local over=0 peak=0 draw backend cap=${cap_mw:-300000}
   for backend in "${backends[@]}"; do
@@ -187,6 +189,6 @@
     [ $draw -le $peak ] || peak=$draw
     [ $draw -le "$cap" ] || over=$((over + 1))
   done
-  echo "highest site draw $((peak / 1000)) W of $((cap / 1000)) W; stand-ins that saw more: $over"
+  echo "highest site draw $((peak / 1000)) W of $((cap / 1000)) W; stand-ins that measured more: $over"
   [ $over = 0 ]
 }
--- a/Utilities/install-packages.sh
+++ b/Utilities/install-packages.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs every package that building, testing and checking needs.
+# Installs all packages required to build, test and check the project.
 set -euo pipefail
 sudo=
 [ "$(id -u)" = 0 ] || sudo=sudo
--- a/Utilities/measure-idle.sh
+++ b/Utilities/measure-idle.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# What the daemons of one deployment cost while no caller asks: processor time,
-# memory and bytes on loopback, by instances and by contracts. The slopes of
-# real processes for docs/CAPACITY.md.
+# Measures the cost of the daemons of one deployment without caller requests:
+# processor time, memory and bytes on loopback, by number of instances and of
+# contracts. Gives the slopes of real processes for docs/CAPACITY.md.
 #
 #   Utilities/measure-idle.sh [INSTANCES...]     (default 4 7 10)
 set -euo pipefail
@@ -12,14 +12,14 @@
 trap 'end_deployment; rm -rf "$work"' EXIT
 trap "exit 1" INT TERM
 seconds=10
-# Probes are work at the backend servers, not control.
+# Probes are disabled: they are load of the backend servers, not control traffic.
 probes=0
 
 loopback_bytes() { awk '/ lo:/ {sub("lo:", ""); print $1}' /proc/net/dev; }
 ticks() { awk '{print $14 + $15}' "/proc/$1/stat"; }
 resident_kb() { awk '/VmRSS/ {print $2}' "/proc/$1/status"; }
 
-# Processor time of all daemons of a kind, in ticks of 10 ms.
+# Prints the processor time of all daemons of a kind, in ticks of 10 ms.
 all_ticks() {
   local n sum=0
   for ((n = 0; n < instances; ++n)); do
--- a/Utilities/quickstart.sh
+++ b/Utilities/quickstart.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Installs, builds, starts both deployments against stand-ins, runs callers,
-# applies a contract, drains a site under load, checks the outcome.
+# Installs packages, builds, starts both deployments against stand-ins, runs
+# callers, applies a contract, drains a site under load, and checks the outcome.
 #
 #   Utilities/quickstart.sh [--no-install] [--small] [--seconds N]
 #                           [--deployment mandap|jegyzet] [--keep-logs]
@@ -43,7 +43,7 @@
     grep -q '"drained": true' "$work/drain.json" && break
     sleep 0.1
   done
-  grep -q '"drained": true' "$work/drain.json" || { echo "the drain did not end"; return 1; }
+  grep -q '"drained": true' "$work/drain.json" || { echo "the drain did not complete"; return 1; }
   echo "site $drained drained in $((($(date +%s%N) - begin) / 1000000)) ms"
   $cli site status
   $cli drain cancel site "$drained"
--- a/Utilities/regenerate-golden.sh
+++ b/Utilities/regenerate-golden.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Writes the golden sessions anew; read the difference before committing it.
+# Regenerates the golden sessions. Review the difference before committing it.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 Utilities/build.sh
--- a/Utilities/test.sh
+++ b/Utilities/test.sh
@@ -1,10 +1,11 @@
 #!/usr/bin/env bash
-# Installs what is missing (unless --no-install), builds and runs all tests.
+# Installs missing packages (unless --no-install), builds, and runs all tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 [ "${1:-}" = --no-install ] || Utilities/install-packages.sh
 Utilities/build.sh
-# Tests that fail for a known fault are run and shown, but don't decide.
+# Tests that fail because of a known fault are run and reported, but do not
+# affect the result.
 red=$([ -f KNOWN-RED.txt ] && cut -d: -f1 KNOWN-RED.txt | paste -sd'|' || true)
 if [ -n "$red" ]; then
   echo "known red:"
