--- a/Utilities/Caller/main.cpp
+++ b/Utilities/Caller/main.cpp
@@ -63,8 +63,7 @@
       cxxopts::value<int>()->default_value("10"))(
       "pause-ms", "pause between the requests of a caller",
       cxxopts::value<int>()->default_value("20"))(
-      "callers", "number of callers, one thread each",
-      cxxopts::value<int>()->default_value("20"))(
+      "callers", "threads", cxxopts::value<int>()->default_value("20"))(
       "allow-cut", "tolerate truncated bodies, for runs that kill a process");
   try {
     return runCallers(Options.parse(ArgumentCount, Arguments));
--- a/Utilities/PathBenchmark/main.cpp
+++ b/Utilities/PathBenchmark/main.cpp
@@ -136,10 +136,8 @@
   cxxopts::Options Options(
       "path-benchmark",
       "Measures the overhead of the path through an entry and a gateway.");
-  Options.add_options()("entry", "address of an entry, ip:port",
-                        cxxopts::value<std::string>())(
-      "backend", "address of a backend stand-in, ip:port",
-      cxxopts::value<std::string>())(
+  Options.add_options()("entry", "ip:port", cxxopts::value<std::string>())(
+      "backend", "ip:port", cxxopts::value<std::string>())(
       "count", "number of requests of each variant",
       cxxopts::value<int>()->default_value("2000"));
   try {
