--- a/Tests/Processes/failures.sh
+++ b/Tests/Processes/failures.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The promises over real processes under signals and broken stand-ins: callers
-# run while each fault is caused, then what they were told is compared with what
-# the backend stand-ins executed.
+# Checks the guarantees with real processes under signals and faulty stand-ins.
+# Callers run while each fault is injected; then the responses that they received
+# are compared with the requests that the backend stand-ins executed.
 #
 #   Tests/Processes/failures.sh [BUILD_DIRECTORY] [SCENARIO...]
 set -euo pipefail
@@ -25,9 +25,9 @@
   for backend in "${backends[@]}"; do curl -s "http://$backend/control?$1" >/dev/null; done
 }
 
-# Symptom: requests to a dead gateway. Sequence: the process is killed with work
-# under way and started again. Cause to rule out: a key run twice, or said not
-# run by the witness although the dead owner had sent it.
+# Requests are sent to a dead gateway: the process is killed with requests in
+# flight and restarted. Failure: a key is executed twice, or the witness reports it
+# as not executed although the dead owner had sent it.
 scenario_gateway_killed() {
   kill_daemon gateway 0
   sleep 2
@@ -35,8 +35,8 @@
   sleep 1
 }
 
-# Symptom: a holder acts on what it held before a pause. Sequence: stopped in
-# the middle of its work, longer than its loans last, then woken.
+# Failure: a holder uses shares from before a pause. The gateway is stopped with
+# requests in flight for longer than its loans last, and then resumed.
 scenario_gateway_frozen() {
   signal_daemon gateway 1 STOP
   sleep 3
@@ -44,8 +44,8 @@
   sleep 1
 }
 
-# Symptom: nobody knows the newest state. Sequence: the platform turns all calls
-# away; a gateway dies meanwhile and can't register until it is back.
+# Failure: no daemon has the latest state. The platform rejects all calls, and a
+# gateway that dies during the outage cannot register until the platform recovers.
 scenario_platform_away() {
   break_platform "outage=1"
   kill_daemon gateway 2
@@ -55,8 +55,8 @@
   sleep 1
 }
 
-# Symptom: a write's fate is unknown. Sequence: writes take effect and their
-# answers are lost, while gateways change their shares and register.
+# Failure: the result of a write is unknown. Writes take effect but their responses
+# are lost, while gateways change their shares and register.
 scenario_writes_lose_answers() {
   break_platform "lose_answers=6"
   kill_daemon gateway 0
@@ -65,7 +65,7 @@
   break_platform "lose_answers=0"
 }
 
-# Symptom: callers' connections die. Sequence: an entry is killed and replaced.
+# Failure: callers lose their connections. An entry is killed and restarted.
 scenario_entry_killed() {
   kill_daemon entry 0
   sleep 2
@@ -73,16 +73,16 @@
   sleep 1
 }
 
-# Symptom: an answer belongs to somebody else, or never comes. Sequence: backend
-# servers answer under another id, or execute and cut the connection.
+# Failure: a caller receives the response to another request, or none. Backend
+# servers respond with another id, or execute and close the connection.
 scenario_answers_lost_and_crossed() {
   break_backends "lose_answers=3&cross_wire=3"
   sleep 3
 }
 
-# Symptom: callers are told after seconds what is known at once. Sequence: all
-# servers of a site die, their connections are refused, and come back after four
-# seconds. Cause: requests waited behind servers that were known to take none.
+# Failure: callers are refused only after seconds, although the gateway can refuse
+# them immediately. All servers of a site die, refuse connections, and return after
+# four seconds; requests are queued for servers that are known to accept none.
 scenario_site_servers_die() {
   local place
   for place in "${!backends[@]}"; do
@@ -91,8 +91,8 @@
   sleep 4
 }
 
-# Symptom: a server that leaves gets new work. Sequence: one says so in its
-# health answer only; the list still has it.
+# Failure: a draining server receives new requests. It reports the draining state in
+# its health response only, and the list still holds it as ready.
 scenario_target_leaves_by_health() {
   local leaving=${backends[0]}
   curl -s "http://$leaving/control?draining=1&draining_header=0" >/dev/null
@@ -100,8 +100,8 @@
   curl -s "http://$leaving/control?draining=0" >/dev/null
 }
 
-# Symptom: half a region's control is gone. Sequence: two controls die; their
-# daemons keep what they know, and contracts still come into force elsewhere.
+# Half of a region's control daemons are killed. The daemons that depend on them
+# keep their current state, and contracts still take effect elsewhere.
 scenario_controls_killed() {
   kill_daemon control 0
   kill_daemon control 1
@@ -111,8 +111,8 @@
   sleep 2
 }
 
-# Symptom: one operator's change is lost without a word. Sequence: two change the
-# same contract from the same version at once; exactly one may be accepted.
+# Failure: an operator's change is silently lost. Two operators concurrently change
+# the same contract from the same version; exactly one change may be accepted.
 scenario_operators_race() {
   local version accepted=0 first second
   version=$($cli contract get customer-9 --output json | sed -n 's/.*"version": \([0-9]*\).*/\1/p')
@@ -123,14 +123,14 @@
   wait $first && accepted=$((accepted + 1)) || true
   wait $second && accepted=$((accepted + 1)) || true
   [ $accepted = 1 ] || { echo "$accepted of two racing changes were accepted"; failed=$((failed + 1)); }
-  # A write whose answer is lost is told from a write that wasn't made.
+  # A write with a lost response is distinguished from a write that was not made.
   break_platform "lose_answers=1"
   $cli contract apply "$work/second.json" --wait ||
     { echo "a write that took effect was not recognised"; failed=$((failed + 1)); }
 }
 
-# Symptom: a region's load lands on the others at once. Sequence: all daemons of
-# a region die together, and come back together.
+# Failure: the load of a region moves to the others all at once. All daemons of a
+# region are killed together and restarted together.
 scenario_region_lost() {
   local n daemon
   for n in 0 3; do for daemon in entry gateway control; do kill_daemon $daemon $n; done; done
@@ -139,9 +139,9 @@
   sleep 2
 }
 
-# Waits for a daemon to end by itself; one that hangs is ended, so that the run
-# has its verdict. Longer than the work of unknown end and the reclaiming of a
-# dead holder's share take together.
+# Waits up to 30 s for a daemon to exit, and kills a daemon that hangs so that the
+# run completes. The limit exceeds the time for requests with an unknown end plus
+# the time to reclaim a dead holder's share.
 expect_end() { # expect_end KIND NUMBER
   local pid=${pid_of[$name-$1-$2]} i
   for ((i = 0; i < 300; ++i)); do
@@ -157,9 +157,9 @@
     { echo "the gateway $1 did not give up its shares"; failed=$((failed + 1)); }
 }
 
-# Symptom: a planned restart cuts requests off. Sequence: a gateway and an entry
-# are asked to stop while callers use them; each has to finish its work, give up
-# its shares or its name, and end by itself.
+# Failure: a planned restart aborts requests. A gateway and an entry receive SIGTERM
+# while callers use them. Each has to finish its requests, release its shares or
+# its name, and exit.
 scenario_daemons_stopped() {
   signal_daemon gateway 0 TERM
   signal_daemon entry 1 TERM
@@ -171,11 +171,11 @@
   sleep 1
 }
 
-# Symptom: a gateway that was asked to stop waits for its shares until its limit
-# of ten minutes. Sequence: both gateways of a site are asked to stop at once;
-# each writes the site's record without its own share, and one of them loses the
-# race. Cause: a gateway that had unregistered took in no further objects, so
-# that it never saw the record that had beaten its own write.
+# Failure: a gateway that received SIGTERM waits for the release of its shares until
+# its limit of ten minutes. Both gateways of a site shut down at the same time, each
+# writes the site's record without its own share, and one write conflicts. A gateway
+# that had unregistered applied no further objects, so it never received the record
+# that conflicted with its write.
 scenario_gateways_stopped_together() {
   signal_daemon gateway 0 TERM
   signal_daemon gateway 3 TERM
@@ -196,9 +196,9 @@
 
 in_progress() { curl -s "http://${entries[2]}/metrics" | awk '/^amaranthhoist_requests_in_progress/ {print $2}'; }
 
-# Symptom: bad input is passed on, or holds resources. Sequence: requests without
-# what they need, too large ones, an upload that is broken off, and a caller that
-# leaves while its request runs: it has to stop at the backend server too.
+# Failure: malformed input is forwarded or holds resources. Covers requests without
+# required fields, oversized requests, an aborted upload, and a caller that
+# disconnects during its request, which the backend server has to stop as well.
 scenario_callers_misbehave() {
   local run=http://${entries[2]}/v1/run/enquiry-desk i
   local customer='X-Customer: customer-1'
@@ -213,17 +213,17 @@
   expect_status 400 "http://${entries[2]}/v1/entries"
   expect_status 429 -H 'X-Customer: nobody' "$run/dates/1"
   expect_status 413 -H "$customer" -H 'X-Idempotent: true' -H 'Content-Length: 99999999999' -X PUT -d x "$run/cells/1"
-  # Broken off in the middle of its upload.
+  # Aborts in the middle of the upload.
   printf 'PUT /v1/run/enquiry-desk/cells/1 HTTP/1.1\r\nHost: x\r\nX-Customer: customer-1\r\nX-Idempotent: true\r\nContent-Length: 500000\r\n\r\npart' \
     >"/dev/tcp/${entries[2]%:*}/${entries[2]#*:}"
-  # Leaves while its request runs.
+  # Disconnects while the request runs.
   curl -s -m 0.5 -H "$customer" "$run/leaver/1?work_ms=20000" >/dev/null || true
   wait $callers || failed=$((failed + 1))
   for ((i = 0; i < 100; ++i)); do
     [ "$(in_progress)" = 0 ] && [ "$($cli site status --output json | grep -c '"in_progress": 0')" = 6 ] && break
     sleep 0.1
   done
-  [ $i -lt 100 ] || { echo "requests of callers that left are held"; failed=$((failed + 1)); }
+  [ $i -lt 100 ] || { echo "requests of disconnected callers are still in progress"; failed=$((failed + 1)); }
   start_callers 1
 }
 
