--- a/Tests/Scheduler/world.cpp
+++ b/Tests/Scheduler/world.cpp
@@ -23,7 +23,7 @@
   if (Lost || isCut(From, To))
     return;
   for (int Copy = 0; Copy < Copies; ++Copy) {
-    // A second copy may be very late.
+    // A duplicate may arrive very late.
     const duration Delay =
         latency() + (Copy == 0 ? duration{} : milliseconds(draw(1'500)));
     after(Delay, [this, From, To, Deliver] {
@@ -68,7 +68,7 @@
     at(Begin, [this] { Pool.Outage = true; });
     at(End, [this] { Pool.Outage = false; });
   }
-  Pool.LosesAnswers = has(fault::LostWrites);
+  Pool.LosesResponses = has(fault::LostWrites);
   if (has(fault::DrainSite)) {
     at(Begin, [this] { drainAll(true); });
     at(End, [this] { drainAll(false); });
@@ -107,7 +107,7 @@
   repeat(milliseconds(50), [this] {
     for (const gateway_process &Process : Gateways)
       onGateway(Process.Number, Process.Incarnation, [this, &Process] {
-        // The watch; it may deliver late, and old versions after new ones.
+        // Simulates the watch, which may deliver late and out of order.
         if (!Pool.Outage && Pool.Record.Version > 0) {
           const pool_record Seen = Pool.Record;
           const int Number = Process.Number;
--- a/Tests/Scheduler/world.h
+++ b/Tests/Scheduler/world.h
@@ -1,6 +1,6 @@
 /// Seeded scheduler that drives the real decision logic of entries and gateways
-/// on a virtual clock: it delivers messages, timers and faults in an order that
-/// depends on the seed alone, so that each failing seed replays exactly.
+/// on a virtual clock. The order of messages, timers and faults depends on the
+/// seed alone, so that each failing seed replays exactly.
 #pragma once
 
 #include "Entry/entry.h"
@@ -18,55 +18,57 @@
 
 namespace amaranthhoist::testing {
 
-/// What goes wrong in a run.
+/// Faults injected into a run.
 enum class fault : std::uint8_t {
   None,
-  /// A gateway process dies and comes back as a new incarnation.
+  /// A gateway process is killed and restarts as a new incarnation.
   KillGateway,
-  /// As KillGateway, two at a time.
+  /// Like KillGateway, for two gateways at a time.
   KillTwoGateways,
-  /// A gateway stops for longer than its loans last, and goes on.
+  /// A gateway is paused for longer than its loans last, and resumes.
   FreezeGateway,
-  /// One gateway is cut off from the others, not from its targets.
+  /// One gateway is partitioned from the other gateways, but not from its
+  /// targets.
   CutGateway,
-  /// One gateway hears the others, but isn't heard by them.
+  /// One gateway receives messages from the others, but its own are lost.
   CutOneWay,
-  /// Entries lose their way to one gateway.
+  /// Entries cannot reach one gateway.
   CutEntries,
-  /// The platform turns every call away.
+  /// The platform rejects every call.
   PlatformOutage,
-  /// Writes to the platform take effect and their answers are lost.
+  /// Writes to the platform take effect, but their responses are lost.
   LostWrites,
-  /// Backend servers execute and lose the answer.
+  /// Backend servers execute requests, but the responses are lost.
   LostAnswers,
-  /// Backend servers say 503 and not run.
+  /// Backend servers respond 503 and state that the request was not executed.
   Shedding,
-  /// A site's load arrives at once from all entries.
+  /// The load of a site arrives from all entries at the same time.
   Surge,
-  /// A site is drained by an operator, with long work under way.
+  /// An operator drains a site while long requests are in progress.
   DrainSite,
-  /// A target says that it is leaving in a header only.
+  /// A target announces in a response header only that it is draining.
   TargetLeaves,
 };
 
-/// Mechanisms switched off, to see the checker catch what they prevent.
+/// Mechanisms that can be disabled, to verify that the checker detects the
+/// failures that they prevent.
 enum class sabotage : std::uint8_t {
   None,
-  /// The witness is not asked: the record is confirmed at once.
+  /// The record is confirmed immediately, without a query to the witness.
   NoWitness,
-  /// Units of work of unknown end are free at once.
+  /// Units of requests with an unknown end are released immediately.
   NoLingering,
   /// Updates of the pool record are unconditional.
   UnconditionalWrites,
-  /// A late copy of a loan is taken again.
+  /// A late duplicate of a loan is applied again.
   LoansTakenTwice,
-  /// The table forgets what has run.
+  /// The key table drops executed requests.
   ForgottenKeys,
-  /// The dead are reclaimed at once.
+  /// The shares of dead holders are reclaimed immediately.
   ReclaimAtOnce,
-  /// Nobody heeds that a target leaves.
+  /// Gateways ignore that a target is draining.
   LeavingIgnored,
-  /// A drain cancels the work that is in progress.
+  /// A drain cancels the requests in progress.
   DrainCancels,
 };
 
@@ -82,32 +84,32 @@
   int TargetCount = 4;
   std::int64_t Slots = 3;
   std::int64_t SlotMilliwatts = 10'000;
-  /// Percent of requests that take half a second and more.
+  /// Percentage of requests that take half a second or longer.
   int LongPercent = 5;
-  /// Longest pause of a caller between two requests; 0: by the faults.
+  /// Longest pause of a caller between two requests; 0: depends on the faults.
   int PauseMs = 0;
-  /// One target takes this many times as long as the others.
+  /// Execution time of one target as a multiple of the others'.
   int SlowFactor = 1;
   target_policy TargetPolicy;
   routing_policy RoutingPolicy;
-  /// Percent of messages lost, and of those delivered twice.
+  /// Percentage of messages that are lost, and that are delivered twice.
   int LossPercent = 1;
   int DuplicatePercent = 1;
 };
 
-/// What a run counted, beside its history.
+/// History and counters of a run.
 struct world_result {
   history History;
-  /// When each operation began, by name.
+  /// Start time of each operation, by name.
   std::map<std::string, instant> Started;
   std::map<outcome, int> Outcomes;
   int Requests = 0;
-  /// Requests that never got a final answer.
+  /// Requests without a final outcome.
   int Unanswered = 0;
   int Executions = 0;
 };
 
-/// Runs one world to its end.
+/// Runs one world to completion.
 world_result runWorld(const world_options &Options);
 
 } // namespace amaranthhoist::testing
--- a/Tests/Scheduler/world_callers.cpp
+++ b/Tests/Scheduler/world_callers.cpp
@@ -21,9 +21,9 @@
       return;
     const auto Operation = Found->second;
     AtEntry.erase(Found);
-    // Answered is told with its content, where the answer arrives.
+    // Outcome Answered is reported with its content when the response arrives.
     if (Finish->Outcome != outcome::Answered)
-      told(Operation, Finish->Outcome, {}, Finish->RetryAfter);
+      onOutcome(Operation, Finish->Outcome, {}, Finish->RetryAfter);
   }
 }
 
@@ -48,7 +48,7 @@
     onGateway(Receiver, Name->Incarnation,
               [=, this] { stepNode(Receiver, request_arrived{Work}); });
   });
-  // A connection to a dead or unreachable process breaks after a while.
+  // A connection to a dead or unreachable process breaks after a delay.
   for (const int Ms : {150, 600}) {
     after(milliseconds(Ms), [=, this] {
       const gateway_process &Process =
@@ -78,7 +78,7 @@
         [=, this] { stepEntryNode(Number, witness_failed{Action.Token}); });
 }
 
-void world::answerEntry(int Gateway, const finish_request &Action) {
+void world::respondToEntry(int Gateway, const finish_request &Action) {
   auto Found = Routes.find(Action.Token);
   if (Found == Routes.end())
     return;
@@ -88,7 +88,7 @@
     if (Waiting == AtEntry.end())
       return;
     if (Action.Outcome == outcome::Answered)
-      told(Waiting->second, Action.Outcome, Action.Answer.Body, {});
+      onOutcome(Waiting->second, Action.Outcome, Action.Answer.Body, {});
     if (Route.Seal)
       stepEntryNode(Route.Entry,
                     witness_answered{Route.EntryToken, Action.Outcome,
@@ -125,7 +125,7 @@
     Operation->Key = formatHome(*Home) + "." + Operation->Name;
   }
   submit(Operation, Entry);
-  // Some callers are impatient and send the same key at other entries too.
+  // Some callers also send the same key to another entry without waiting.
   if (chance(10))
     submit(Operation, (Entry + 1) % Options.Entries);
   const int ByFaults = has(fault::Surge) ? 80 : 400;
@@ -147,8 +147,9 @@
   stepEntryNode(Entry, Request);
 }
 
-void world::told(const std::shared_ptr<operation> &Operation, outcome Outcome,
-                 const std::string &Content, duration RetryAfter) {
+void world::onOutcome(const std::shared_ptr<operation> &Operation,
+                      outcome Outcome, const std::string &Content,
+                      duration RetryAfter) {
   Result.History.Told.push_back(
       {Now, Operation->Name, Operation->Key, Outcome, Content, true});
   const bool Final = Outcome == outcome::Answered ||
--- a/Tests/Scheduler/world_gateways.cpp
+++ b/Tests/Scheduler/world_gateways.cpp
@@ -35,7 +35,7 @@
   stepNode(Number, site_changed{SiteSettings, Targets});
   if (Pool.Record.Version > 0)
     stepNode(Number, record_seen{Pool.Record});
-  tellEveryone();
+  announceGateways();
 }
 
 void world::killGateway(int Number) {
@@ -44,15 +44,16 @@
     return;
   Process.Alive = false;
   const std::string Id = Process.Node.Settings.Id;
-  // A restart registers a new incarnation, which is the proof of death.
+  // A restart registers a new incarnation, which proves that the old one is
+  // dead.
   after(milliseconds(300 + draw(1'000)), [this, Number, Id] {
     ProvedDead.insert(Id);
     startGateway(Number);
   });
 }
 
-/// Runs \p Action at a process that still is the one meant, once it isn't
-/// frozen.
+/// Runs \p Action at the given incarnation of a process once it is not frozen.
+/// Does nothing if this incarnation no longer runs.
 void world::onGateway(int Number, std::int64_t Incarnation,
                       const action &Action) {
   gateway_process &Process = Gateways[static_cast<std::size_t>(Number)];
@@ -75,7 +76,7 @@
       return Entry.second.State == key_state::Answered;
     });
   for (const gateway_action &Action : stepGateway(Process.Node, Event, now()))
-    // Between the decision and its effect the process may be stopped or die.
+    // The process may be paused or killed between the decision and its effect.
     after(std::chrono::microseconds(draw(200)),
           [this, Number, Incarnation, Action] {
             onGateway(Number, Incarnation,
@@ -83,7 +84,7 @@
           });
 }
 
-void world::tellEveryone() {
+void world::announceGateways() {
   peers_changed All;
   for (const gateway_process &Process : Gateways)
     if (Process.Alive)
@@ -110,12 +111,13 @@
   else if (const auto *Write = std::get_if<write_record>(&Action))
     performWrite(Number, *Write);
   else if (const auto *Finish = std::get_if<finish_request>(&Action))
-    answerEntry(Number, *Finish);
+    respondToEntry(Number, *Finish);
   else if (const auto *Cancel = std::get_if<cancel_at_target>(&Action))
     cutOff(Cancel->Token);
 }
 
-/// Callers don't go away here, so whatever is cancelled was cut off.
+/// Callers do not disconnect in this world, so each cancelled request was cut
+/// off.
 void world::cutOff(std::uint64_t Token) {
   const std::string Operation = Routes[Token].Operation->Name;
   for (recorded_execution &Execution : Result.History.Executions)
@@ -196,7 +198,7 @@
       Version = Pool.Record.Version + 1;
       Pool.Record = Proposed;
       Pool.Record.Version = Version;
-      if (!(Pool.LosesAnswers && chance(50)))
+      if (!(Pool.LosesResponses && chance(50)))
         Outcome = update_result::Written;
     } else if (!Pool.Outage) {
       Outcome = update_result::Conflict;
@@ -225,7 +227,7 @@
   if (Action.Target == Targets.back().Name)
     Work *= Options.SlowFactor;
   const bool Lost = has(fault::LostAnswers) && chance(10);
-  // The backend server stops at the deadline that it was told.
+  // The backend server stops at the deadline that it received.
   const instant End = std::min(Now + Work, Action.Deadline);
   const bool CutShort = End < Now + Work;
   const std::size_t Place = Result.History.Executions.size();
@@ -233,7 +235,7 @@
       {Now, End, Operation, Key, Action.Target, Site, Region,
        Options.SlotMilliwatts,
        CutShort ? execution_end::CallerLeft : execution_end::Completed});
-  // The connection may be cut long before the work ends.
+  // The connection may break long before the execution ends.
   if (Lost)
     after(Work / 2, [=, this] {
       endExecution(Number, Incarnation, Action.Token, Place, target_end::Broken,
--- a/Tests/Scheduler/world_state.h
+++ b/Tests/Scheduler/world_state.h
@@ -1,4 +1,4 @@
-/// State of the seeded scheduler, shared between its files.
+/// State of the seeded scheduler, shared between its source files.
 #pragma once
 
 #include "Objects/objects.h"
@@ -18,7 +18,7 @@
 inline constexpr duration CallerDeadline = milliseconds(1'500);
 inline constexpr duration MaxWork = milliseconds(1'500);
 
-/// A gateway process: its node, and whether it runs.
+/// A gateway process: its node and its run state.
 struct gateway_process {
   int Number = 0;
   std::int64_t Incarnation = 0;
@@ -27,7 +27,7 @@
   instant FrozenUntil{};
 };
 
-/// One caller's operation, retried under its key until a final word.
+/// One caller's operation, retried under its key until it has a final outcome.
 struct operation {
   std::string Name;
   std::string Key;
@@ -38,11 +38,11 @@
   instant Deadline{};
 };
 
-/// The site's pool object at the platform.
+/// The site's pool object in the platform.
 struct pool_object {
   pool_record Record;
   bool Outage = false;
-  bool LosesAnswers = false;
+  bool LosesResponses = false;
 };
 
 class world {
@@ -88,7 +88,7 @@
   void performSend(int Number, const send_to_target &Action);
   void performPeer(int Number, const send_to_peer &Action);
   void performWrite(int Number, const write_record &Action);
-  void tellEveryone();
+  void announceGateways();
   static std::string nameOf(int Number) {
     return "gw" + std::to_string(Number);
   }
@@ -105,11 +105,11 @@
   void performEntry(int Number, const entry_action &Action);
   void forward(int Number, const forward_request &Action);
   void askWitness(int Number, const ask_witness &Action);
-  void answerEntry(int Gateway, const finish_request &Action);
+  void respondToEntry(int Gateway, const finish_request &Action);
   void startCaller(int Caller);
   void submit(const std::shared_ptr<operation> &Operation, int Entry);
-  void told(const std::shared_ptr<operation> &Operation, outcome Outcome,
-            const std::string &Content, duration RetryAfter);
+  void onOutcome(const std::shared_ptr<operation> &Operation, outcome Outcome,
+                 const std::string &Content, duration RetryAfter);
   void injectFaults();
 
   world_options Options;
@@ -134,7 +134,8 @@
   pool_object Pool;
   std::vector<target_settings> Targets;
   std::set<std::string> Departed;
-  /// By gateway's token: where the answer goes, and whose request it is.
+  /// Destination of a response and the operation that it belongs to, by the
+  /// gateway's token.
   struct routed {
     int Entry = 0;
     std::uint64_t EntryToken = 0;
