--- a/Tests/NodeProcesses/crashing_request_test.cpp
+++ b/Tests/NodeProcesses/crashing_request_test.cpp
@@ -1,4 +1,5 @@
-// Requests that end the backend servers which run them, at several real nodes.
+// Tests the quarantine of requests that crash backend servers, on several real
+// nodes.
 
 #include "Text/text.h"
 #include "node_fleet.h"
@@ -14,11 +15,11 @@
 
 constexpr const char *DeadlyPath = "/safe/deadly";
 constexpr int Servers = 12;
-/// Servers that a request may end before it is known.
+/// Servers that a request may crash before it is quarantined.
 constexpr int CrashesAllowed = 3;
-/// Attempts that may follow by nodes that had time to learn of it.
+/// Further crashes allowed after the quarantine announcements have spread.
 constexpr int RetriesAllowed = 3;
-/// In which nodes that are in touch learn what the others know.
+/// Time within which connected nodes synchronize their state.
 constexpr duration Touch = std::chrono::seconds(4);
 
 struct deadly_fleet : node_fleet {
@@ -26,7 +27,7 @@
     putConfiguration(1);
     ObjectKey = "17";
     for (int Index = 0; Index < Servers; ++Index)
-      addTarget(cat("s", Index)).DeadlyPath = DeadlyPath;
+      addTarget(cat("s", Index)).CrashingPath = DeadlyPath;
     for (const char *Name : {"n1", "n2", "n3"})
       addNode(Name, "a1", "a");
     for (auto &Node : Nodes)
@@ -42,22 +43,22 @@
         }));
   }
 
-  /// Entries of servers that have ended lapse.
+  /// Removes the store entries of crashed servers.
   void removeCrashed() {
     for (const auto &[Id, Target] : Targets)
       if (Target->HasCrashed && Store.has("servers", Id))
         Store.remove("servers", Id);
   }
 
-  /// Asks until three servers have ended.
+  /// Sends the request until three servers have crashed.
   void crashThree() {
     while (crashes() < CrashesAllowed && Asked < Servers)
       askDeadly(*Nodes[0]);
     removeCrashed();
   }
 
-  caller_answer askDeadly(node_process &Node) {
-    return ask(Node, DeadlyPath, cat("deadly-", ++Asked));
+  caller_response askDeadly(node_process &Node) {
+    return fetch(Node, DeadlyPath, cat("deadly-", ++Asked));
   }
 
   bool IsReady = false;
@@ -71,12 +72,12 @@
 TEST_GROUP(CrashingRequest) {};
 // clang-format on
 
-// Failure: a server that lost one answer counts as crashed.
-TEST(CrashProbe, ACrashIsToldFromALostAnswer) {
+// Failure: a server that lost one response is recorded as crashed.
+TEST(CrashProbe, CrashIsDistinguishedFromLostResponse) {
   small_fleet Fleet;
-  Fleet.Targets["s1"]->Behavior = target_stand_in::behavior::LosesAnswers;
-  Fleet.Targets["s2"]->DeadlyPath = DeadlyPath;
-  Fleet.ask(*Fleet.Node, DeadlyPath, "id-1");
+  Fleet.Targets["s1"]->Behavior = target_stand_in::behavior::LosesResponses;
+  Fleet.Targets["s2"]->CrashingPath = DeadlyPath;
+  Fleet.fetch(*Fleet.Node, DeadlyPath, "id-1");
   CHECK(Fleet.Targets["s2"]->HasCrashed);
   const auto Says = [&](const char *Text) {
     return Fleet.logOf(*Fleet.Node).find(Text) != std::string::npos;
@@ -86,31 +87,32 @@
   CHECK_FALSE(Says(R"("event":"server_crashed","server":"s1")"));
 }
 
-// Failure: a request that ends the servers which run it comes again at any node
-// and ends one server after the other.
-TEST(CrashingRequest, WhatEndedThreeServersIsRefusedAtAllNodes) {
+// Failure: a request that crashes the servers executing it is retried at any
+// node and crashes one server after the other.
+TEST(CrashingRequest, RequestThatCrashedThreeServersIsRefusedAtAllNodes) {
   deadly_fleet Fleet;
   CHECK(Fleet.IsReady);
   Fleet.crashThree();
   Fleet.runFor(Touch);
   const int Before = Fleet.crashes();
-  std::vector<caller_answer> Answers;
+  std::vector<caller_response> Answers;
   for (int Round = 0; Round < 2; ++Round)
     for (auto &Node : Fleet.Nodes) {
       Answers.push_back(Fleet.askDeadly(*Node));
       Fleet.removeCrashed();
     }
   CHECK_COMPARE(Fleet.crashes(), <=, Before + RetriesAllowed);
-  for (const caller_answer &Answer : Answers) {
+  for (const caller_response &Answer : Answers) {
     LONGS_EQUAL(503, Answer.Status);
     CHECK(!Answer.RetryAfter.empty());
   }
-  LONGS_EQUAL(200, Fleet.ask(*Fleet.Nodes[1], "/safe/harmless", "id-1").Status);
+  LONGS_EQUAL(200,
+              Fleet.fetch(*Fleet.Nodes[1], "/safe/harmless", "id-1").Status);
 }
 
-// Failure: a node that starts again has forgotten the request, and ends servers
-// with it anew.
-TEST(CrashingRequest, ANodeThatStartsAgainLearnsOfIt) {
+// Failure: a restarted node has lost the quarantine and crashes further servers
+// with the request.
+TEST(CrashingRequest, RestartedNodeReceivesQuarantine) {
   deadly_fleet Fleet;
   CHECK(Fleet.IsReady);
   Fleet.crashThree();
--- a/Tests/NodeProcesses/explain_test.cpp
+++ b/Tests/NodeProcesses/explain_test.cpp
@@ -1,5 +1,5 @@
-// An operator on call has a request's id and the nodes' logs. Each test plays
-// one kind of failed request and reads its cause from the lines alone.
+// An operator has a request id and the nodes' logs. Each test causes one kind
+// of failed request and determines the cause from the log lines alone.
 
 #include "RequestTrace/request_trace.h"
 #include "Text/text.h"
@@ -24,7 +24,7 @@
   return makeTrace(Reader);
 }
 
-/// Waits until the node has handed on a line that ends the request.
+/// Waits until the node has logged the final line of the request.
 bool waitForCause(node_fleet &Fleet, const std::string &Id) {
   return Fleet.runUntil([&] { return !explain(Fleet, Id).Causes.empty(); });
 }
@@ -39,7 +39,7 @@
 TEST_GROUP(Explain) {};
 // clang-format on
 
-TEST(Explain, ARequestRefusedUnderLoad) {
+TEST(Explain, RequestRefusedUnderLoad) {
   small_fleet Fleet;
   for (auto &[Id, Target] : Fleet.Targets)
     Target->Work = std::chrono::seconds(30);
@@ -47,11 +47,12 @@
   std::vector<std::unique_ptr<caller_call>> Calls;
   Calls.reserve(MoreThanFits);
   const auto WasRefused = [&](const auto &Call) {
-    return Call->answer().Status == 503;
+    return Call->response().Status == 503;
   };
-  // Both servers fill up; the next one is refused.
+  // Both servers reach capacity; the next request is refused.
   for (int Index = 0; Index < MoreThanFits; ++Index)
-    Calls.push_back(Fleet.get(*Fleet.Node, "/safe/x", cat("id-", Index)));
+    Calls.push_back(
+        Fleet.startRequest(*Fleet.Node, "/safe/x", cat("id-", Index)));
   CHECK(Fleet.runUntil(
       [&] { return std::any_of(Calls.begin(), Calls.end(), WasRefused); }));
   const auto Refused = std::find_if(Calls.begin(), Calls.end(), WasRefused);
@@ -64,42 +65,44 @@
   LONGS_EQUAL(1, Trace.Nodes[0].ConfigurationVersion);
 }
 
-TEST(Explain, AnAnswerLostAtAServerThatRanTheRequest) {
+TEST(Explain, ResponseLostAfterExecution) {
   small_fleet Fleet;
-  Fleet.setAll(behavior::LosesAnswers);
-  LONGS_EQUAL(502, Fleet.ask(*Fleet.Node, "/once/x", "id-1", "POST").Status);
+  Fleet.setAll(behavior::LosesResponses);
+  LONGS_EQUAL(502, Fleet.fetch(*Fleet.Node, "/once/x", "id-1", "POST").Status);
   CHECK(waitForCause(Fleet, "id-1"));
   const request_trace Trace = explain(Fleet, "id-1");
   CHECK(says(Trace, "its answer was lost or unsound; it may have run"));
   CHECK(says(Trace, "failed after"));
 }
 
-// The last line of a request that the node's own end cuts off: without it an
-// operator would find a request that came and no word of what became of it.
-TEST(Explain, ARequestCutByTheEndOfItsNode) {
+// Failure: a request is aborted by the exit of its node, and the log holds its
+// arrival but no outcome.
+TEST(Explain, RequestAbortedByNodeExit) {
   small_fleet Fleet;
   for (auto &[Id, Target] : Fleet.Targets)
     Target->Work = std::chrono::seconds(30);
   Fleet.DeadlineMs = 30'000;
-  auto Call = Fleet.get(*Fleet.Node, "/slow/x", "id-1", "POST", "body");
+  auto Call =
+      Fleet.startRequest(*Fleet.Node, "/slow/x", "id-1", "POST", "body");
   CHECK(Fleet.runUntil([&] { return runsOf(Fleet, "id-1") == 1; }));
   Fleet.signal(*Fleet.Node, SIGTERM);
-  CHECK(Fleet.runUntil([&] { return Fleet.hasEnded(*Fleet.Node); }));
+  CHECK(Fleet.runUntil([&] { return Fleet.hasExited(*Fleet.Node); }));
   CHECK(waitForCause(Fleet, "id-1"));
   const request_trace Trace = explain(Fleet, "id-1");
   CHECK(says(Trace, "the node's process ended before the request did"));
   CHECK(says(Trace, "under_way after"));
 }
 
-// Work of a region goes elsewhere and the node's log doesn't say when or why.
-TEST(Explain, TheSpreadOfARegionsWorkIsLoggedWithItsCause) {
+// Failure: requests spill over to another region, and the node's log records
+// neither when nor why.
+TEST(Explain, SpilloverIsLoggedWithItsCause) {
   small_fleet Fleet;
   for (auto &[Id, Target] : Fleet.Targets)
     Target->Load = "4,8,4";
   constexpr int Requests = 30;
   for (int Index = 0; Index < Requests; ++Index)
     LONGS_EQUAL(200,
-                Fleet.ask(*Fleet.Node, "/safe/x", cat("id-", Index)).Status);
+                Fleet.fetch(*Fleet.Node, "/safe/x", cat("id-", Index)).Status);
   const auto IsLogged = [&] {
     const std::string Log = Fleet.logOf(*Fleet.Node);
     const std::size_t Line = Log.find("\"region_spread\"");
@@ -107,8 +110,8 @@
            Log.find("\"occupation\":", Line) != std::string::npos;
   };
   CHECK(Fleet.runUntil([&] {
-    // Steps are taken as requests come.
-    Fleet.ask(*Fleet.Node, "/safe/x", "id-last");
+    // The spillover is adjusted when requests arrive.
+    Fleet.fetch(*Fleet.Node, "/safe/x", "id-last");
     return IsLogged();
   }));
 }
--- a/Tests/NodeProcesses/learning_test.cpp
+++ b/Tests/NodeProcesses/learning_test.cpp
@@ -1,4 +1,4 @@
-// The first moments of a node, over the program as it runs.
+// Tests the bootstrap of real node processes.
 
 #include "EventLoop/socket.h"
 #include "Text/text.h"
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// A caller that doesn't need the test's event loop, on which the store runs:
-/// what it sends arrives before the store has said anything.
+/// A client that works without the test's event loop. The store stand-in runs
+/// on that loop, so the request arrives before any response of the store.
 class early_caller {
 public:
   early_caller(const std::string &Address, const std::string &Request) {
@@ -24,7 +24,7 @@
     Peer.sin_family = AF_INET;
     Peer.sin_port = htons(To.Port);
     Peer.sin_addr.s_addr = htonl(To.Ip);
-    // Until the node listens.
+    // Retry until the node listens.
     for (int Try = 0; Try < 60'000 && !IsConnected; ++Try) {
       Descriptor = socket(AF_INET, SOCK_STREAM, 0);
       IsConnected = connect(Descriptor, reinterpret_cast<sockaddr *>(&Peer),
@@ -41,7 +41,7 @@
   early_caller(const early_caller &) = delete;
   early_caller &operator=(const early_caller &) = delete;
 
-  /// The status line, once it is there.
+  /// Returns the status line once received, otherwise an empty string.
   std::string poll() {
     char Buffer[256]; // NOLINT(*-avoid-c-arrays)
     const ssize_t Size = recv(Descriptor, Buffer, sizeof Buffer, MSG_DONTWAIT);
@@ -62,12 +62,12 @@
 TEST_GROUP(Learning) {};
 // clang-format on
 
-// Symptom: after a restart of all nodes callers are told to come back later,
-// although the nodes know what is in force a moment afterwards. Sequence: a
-// request reaches a node that has just started, before the store's lists do.
-// Cause: refusing as not configured at once. Several starts, since a node that
-// takes longer than its learning time on a busy machine refuses rightly.
-TEST(Learning, ARequestThatComesBeforeTheListsIsServed) {
+// Failure: after a restart of all nodes callers receive 503 with Retry-After,
+// although the nodes have their configuration a moment later. A request reaches
+// a new node before the store's lists do, and the node immediately refuses it
+// as not configured. The test starts several nodes, since a node that exceeds
+// its bootstrap time on a busy machine correctly refuses the request.
+TEST(Learning, RequestBeforeFirstListIsServed) {
   small_fleet Fleet;
   constexpr int Starts = 5;
   int Served = 0;
@@ -85,8 +85,8 @@
   CHECK(Served >= 2);
 }
 
-// The other side of it: without a store and peers there is nothing to wait for.
-TEST(Learning, ANodeThatCannotLearnRefuses) {
+// Without a store and peers the bootstrap cannot succeed, so the node refuses.
+TEST(Learning, NodeThatCannotBootstrapRefuses) {
   small_fleet Fleet;
   Fleet.HasSeeds = false;
   Fleet.Store.setMode(store_stand_in::mode::Silent);
--- a/Tests/NodeProcesses/node_fleet.cpp
+++ b/Tests/NodeProcesses/node_fleet.cpp
@@ -16,8 +16,9 @@
 
 using nlohmann::json;
 
-/// A node that doesn't answer a small question in this time is asked again.
-static constexpr duration SmallAnswerTime = std::chrono::seconds(2);
+/// Time-out of a request to an auxiliary server; callers of fetchEndpoint
+/// retry.
+static constexpr duration EndpointTimeout = std::chrono::seconds(2);
 static constexpr duration CheckPeriod = std::chrono::milliseconds(5);
 
 caller_call::caller_call(event_loop &Loop, const std::string &Address,
@@ -25,7 +26,7 @@
     : Connection(Loop) {
   const auto Endpoint = parseEndpoint(Address);
   if (!Endpoint || !Connection.connect(*Endpoint, std::chrono::seconds(30))) {
-    Answer.IsOver = true;
+    Response.IsCompleted = true;
     return;
   }
   Connection.call(*this, Request, /*IsHead=*/false);
@@ -33,24 +34,24 @@
 
 bool caller_call::onHead(const message_head &Head) {
   Status = Head.status();
-  Answer.RetryAfter = Head.find("Retry-After").value_or("");
-  Answer.HasSignature = Head.find("X-Response-Stamp").has_value();
+  Response.RetryAfter = Head.find("Retry-After").value_or("");
+  Response.HasSignature = Head.find("X-Response-Stamp").has_value();
   return true;
 }
 
 void caller_call::onBody(std::string &Body) {
-  Answer.Body.append(Body);
+  Response.Body.append(Body);
   Body.clear();
 }
 
 void caller_call::onComplete() {
-  Answer.IsOver = true;
-  Answer.Status = Status;
+  Response.IsCompleted = true;
+  Response.Status = Status;
 }
 
 void caller_call::onFailure(const call_failure &Failure) {
-  Answer.IsOver = true;
-  Answer.IsCut = Failure.HadAnswer;
+  Response.IsCompleted = true;
+  Response.IsTruncated = Failure.HadAnswer;
 }
 
 node_fleet::node_fleet(std::string Program) : Program(std::move(Program)) {
@@ -181,7 +182,7 @@
   const int Output = ::open(Log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
   dup2(Output, STDOUT_FILENO);
   dup2(Output, STDERR_FILENO);
-  // A test that crashes must not leave its nodes behind.
+  // Terminates the node if the test process crashes.
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   execl(Program.c_str(), Program.c_str(), "--settings", File.c_str(),
         static_cast<char *>(nullptr));
@@ -189,7 +190,8 @@
 }
 
 void node_fleet::signal(node_process &Node, int Signal) {
-  // Ended and waited for: signalled as 0, the whole run would get it.
+  // The process was reaped. kill() with id 0 would signal the test's whole
+  // process group.
   if (Node.Process <= 0)
     return;
   kill(Node.Process, Signal);
@@ -199,7 +201,7 @@
   Node.Process = 0;
 }
 
-bool node_fleet::hasEnded(node_process &Node) {
+bool node_fleet::hasExited(node_process &Node) {
   if (Node.Process > 0 && waitpid(Node.Process, nullptr, WNOHANG) != 0)
     Node.Process = 0;
   return Node.Process == 0;
@@ -208,7 +210,7 @@
 bool node_fleet::runUntil(const std::function<bool()> &Done, duration Time) {
   bool IsDone = false;
   bool IsOver = false;
-  // Runs may be nested: only the one under way may be stopped.
+  // Calls may be nested: only the innermost active loop may be stopped.
   bool IsRunning = false;
   timer_id Limit = Loop.after(Time, [&] {
     IsOver = true;
@@ -222,7 +224,8 @@
         Loop.stop();
       return;
     }
-    // When the time passes within a nested run, that run is what stops.
+    // If the time limit expires during a nested call, stop() ended the nested
+    // loop, so this loop is stopped here.
     if (IsOver)
       Loop.stop();
     else
@@ -244,13 +247,16 @@
 
 bool node_fleet::waitReady(node_process &Node) {
   return runUntil([&] {
-    return askSmall(Node.Readiness, "/amaranthhoist/readiness").Status == 200;
+    return fetchEndpoint(Node.Readiness, "/amaranthhoist/readiness").Status ==
+           200;
   });
 }
 
-std::unique_ptr<caller_call>
-node_fleet::get(node_process &Node, std::string_view Path, std::string_view Id,
-                std::string_view Method, std::string_view Body) {
+std::unique_ptr<caller_call> node_fleet::startRequest(node_process &Node,
+                                                      std::string_view Path,
+                                                      std::string_view Id,
+                                                      std::string_view Method,
+                                                      std::string_view Body) {
   std::string Request =
       cat(Method, " ", Path, " HTTP/1.1\r\nHost: shop.example\r\n",
           "X-Attempt-Id: ", Id,
@@ -262,19 +268,20 @@
   return std::make_unique<caller_call>(Loop, Node.Callers, Request);
 }
 
-caller_answer node_fleet::ask(node_process &Node, std::string_view Path,
-                              std::string_view Id, std::string_view Method) {
-  auto Call = get(Node, Path, Id, Method);
-  runUntil([&] { return Call->answer().IsOver; });
-  return Call->answer();
+caller_response node_fleet::fetch(node_process &Node, std::string_view Path,
+                                  std::string_view Id,
+                                  std::string_view Method) {
+  auto Call = startRequest(Node, Path, Id, Method);
+  runUntil([&] { return Call->response().IsCompleted; });
+  return Call->response();
 }
 
-caller_answer node_fleet::askSmall(const std::string &Address,
-                                   std::string_view Path) {
+caller_response node_fleet::fetchEndpoint(const std::string &Address,
+                                          std::string_view Path) {
   caller_call Call(Loop, Address,
                    cat("GET ", Path, " HTTP/1.1\r\nHost: h\r\n\r\n"));
-  runUntil([&] { return Call.answer().IsOver; }, SmallAnswerTime);
-  return Call.answer();
+  runUntil([&] { return Call.response().IsCompleted; }, EndpointTimeout);
+  return Call.response();
 }
 
 } // namespace amaranthhoist
--- a/Tests/NodeProcesses/node_fleet.h
+++ b/Tests/NodeProcesses/node_fleet.h
@@ -1,5 +1,6 @@
-/// Real node processes on loopback, with stand-ins around them and callers, all
-/// driven from the test's event loop. Ends only processes that it started.
+/// Runs real node processes on loopback against stand-ins for the store and the
+/// backend servers. The test's event loop drives the stand-ins and the callers.
+/// Signals only processes that it started.
 #pragma once
 
 #include "HttpConnection/client_connection.h"
@@ -16,26 +17,26 @@
 
 namespace amaranthhoist {
 
-/// What a caller got.
-struct caller_answer {
-  bool IsOver = false;
-  /// 0: no whole answer.
+/// Response as received by a caller.
+struct caller_response {
+  bool IsCompleted = false;
+  /// 0 if no complete response was received.
   int Status = 0;
   std::string Body;
   std::string RetryAfter;
   bool HasSignature = false;
-  /// Bytes came, but the answer isn't whole.
-  bool IsCut = false;
+  /// Response bytes were received, but the response is incomplete.
+  bool IsTruncated = false;
 };
 
-/// One request of a caller, on a connection of its own.
+/// Sends one request on a dedicated connection.
 class caller_call : private call_owner {
 public:
   caller_call(event_loop &Loop, const std::string &Address,
               const std::string &Request);
-  const caller_answer &answer() const { return Answer; }
-  /// Goes away without waiting for the answer.
-  void leave() { Connection.close(); }
+  const caller_response &response() const { return Response; }
+  /// Closes the connection without waiting for the response.
+  void disconnect() { Connection.close(); }
 
 private:
   bool onHead(const message_head &Head) override;
@@ -44,7 +45,7 @@
   void onFailure(const call_failure &Failure) override;
 
   client_connection Connection;
-  caller_answer Answer;
+  caller_response Response;
   int Status = 0;
 };
 
@@ -57,14 +58,14 @@
   std::string Lookups = freeAddress();
   std::string Control = freeAddress();
   std::string Peers = freeAddress();
-  /// Where it reaches the store; empty: the stand-in itself.
+  /// Store address in the node's settings; empty: the store stand-in.
   std::string Store;
   pid_t Process = 0;
 };
 
 class node_fleet {
 public:
-  /// \p Program is the node's program.
+  /// \p Program is the path of the node executable.
   explicit node_fleet(std::string Program);
   ~node_fleet();
   node_fleet(const node_fleet &) = delete;
@@ -74,51 +75,55 @@
   store_stand_in Store{Loop};
   std::map<std::string, std::unique_ptr<target_stand_in>> Targets;
   std::vector<std::unique_ptr<node_process>> Nodes;
-  /// Whether settings name other nodes.
+  /// Whether the settings list the other nodes as seeds.
   bool HasSeeds = true;
-  /// How long callers wait, milliseconds.
+  /// Remaining deadline that requests carry, in milliseconds.
   int DeadlineMs = 3'000;
-  /// The object that callers ask for; empty: each request another one.
+  /// Affinity key of all requests; empty: each request uses its own id.
   std::string ObjectKey;
 
-  /// A backend server of service "desk", listed in the store.
+  /// Starts a backend server of service "desk" and lists it in the store.
   target_stand_in &addTarget(const std::string &Id,
                              const std::string &Domain = "a1",
                              const std::string &State = "ready");
-  /// \p Address: where nodes reach it; empty: the stand-in itself.
+  /// \p Address is the address that nodes connect to; empty: the stand-in's
+  /// own.
   void listTarget(const target_stand_in &Target, const std::string &Domain,
                   const std::string &State, const std::string &Address = {});
-  /// Routes /safe/, /once/ and /slow/ (as /once/, with a minute's time) to the
-  /// service, and /extra/ if \p HasExtra.
+  /// Routes /safe/ (idempotent), /once/ (non-idempotent) and /slow/ (like
+  /// /once/, with a timeout of one minute) to the service, and /extra/ if \p
+  /// HasExtra.
   void putConfiguration(int Version, bool HasExtra = false);
   node_process &addNode(const std::string &Name, const std::string &Domain,
                         const std::string &Region);
   void start(node_process &Node);
   void signal(node_process &Node, int Signal);
-  /// Keeps the folder with settings and logs.
+  /// Keeps the directory with settings and logs after the test.
   void keepFolder() { KeepsFolder = true; }
   [[nodiscard]] const std::string &folder() const { return Folder; }
-  /// Whether the process has ended.
-  bool hasEnded(node_process &Node);
+  /// Returns true once the process has exited, and reaps it.
+  bool hasExited(node_process &Node);
 
-  /// Runs the loop until \p Done; false after \p Time. A verdict never hangs on
-  /// the default: it only ends a test that has failed.
+  /// Runs the loop until \p Done returns true. Returns false after \p Time. The
+  /// default only bounds the duration of a failing test; no verdict depends on
+  /// it.
   bool runUntil(const std::function<bool()> &Done,
                 duration Time = std::chrono::seconds(60));
   void runFor(duration Time);
-  /// What the node has logged so far.
+  /// Returns the node's log output so far.
   std::string logOf(const node_process &Node) const;
   bool waitReady(node_process &Node);
 
-  std::unique_ptr<caller_call> get(node_process &Node, std::string_view Path,
-                                   std::string_view Id,
-                                   std::string_view Method = "GET",
-                                   std::string_view Body = {});
-  /// The same, until it is over.
-  caller_answer ask(node_process &Node, std::string_view Path,
-                    std::string_view Id, std::string_view Method = "GET");
-  /// An answer of one of the node's small servers.
-  caller_answer askSmall(const std::string &Address, std::string_view Path);
+  std::unique_ptr<caller_call>
+  startRequest(node_process &Node, std::string_view Path, std::string_view Id,
+               std::string_view Method = "GET", std::string_view Body = {});
+  /// Sends a request and runs the loop until it completes.
+  caller_response fetch(node_process &Node, std::string_view Path,
+                        std::string_view Id, std::string_view Method = "GET");
+  /// Fetches a path from one of the node's auxiliary servers (readiness,
+  /// lookups, control).
+  caller_response fetchEndpoint(const std::string &Address,
+                                std::string_view Path);
 
 private:
   std::string logFile(const node_process &Node) const;
--- a/Tests/NodeProcesses/node_process_test.cpp
+++ b/Tests/NodeProcesses/node_process_test.cpp
@@ -1,5 +1,5 @@
-// The node program as it runs: real processes against scripted servers and a
-// scripted store. No verdict depends on how long anything takes.
+// Tests real node processes against scripted backend servers and a scripted
+// store. No verdict depends on timing.
 
 #include "node_fleet.h"
 #include "small_fleet.h"
@@ -16,25 +16,25 @@
 TEST_GROUP(NodeProcess) {};
 // clang-format on
 
-TEST(NodeProcess, ServesLooksUpAndKnowsItsRoutes) {
+TEST(NodeProcess, ServesRequestsLookupsAndRoutes) {
   small_fleet Fleet;
   CHECK(Fleet.IsReady);
-  const auto Answer = Fleet.ask(*Fleet.Node, "/safe/x", "id-1");
+  const auto Answer = Fleet.fetch(*Fleet.Node, "/safe/x", "id-1");
   LONGS_EQUAL(200, Answer.Status);
   CHECK(Answer.Body == target_stand_in::bodyFor("id-1"));
   CHECK(Answer.HasSignature);
-  LONGS_EQUAL(404, Fleet.ask(*Fleet.Node, "/none/", "id-2").Status);
-  const auto Lookup = Fleet.askSmall(
+  LONGS_EQUAL(404, Fleet.fetch(*Fleet.Node, "/none/", "id-2").Status);
+  const auto Lookup = Fleet.fetchEndpoint(
       Fleet.Node->Lookups,
       "/amaranthhoist/resolve?name=shop.example&region=a&zone=a1");
   LONGS_EQUAL(200, Lookup.Status);
   CHECK(Lookup.Body.find(Fleet.Node->Callers) != std::string::npos);
 }
 
-TEST(NodeProcess, TellsOperatorsWhatItBelieves) {
+TEST(NodeProcess, StatusReportsCurrentView) {
   small_fleet Fleet;
   const auto Status = nlohmann::json::parse(
-      Fleet.askSmall(Fleet.Node->Control, "/v1/status").Body);
+      Fleet.fetchEndpoint(Fleet.Node->Control, "/v1/status").Body);
   CHECK(Status["ready"].get<bool>());
   LONGS_EQUAL(1, Status["version"].get<int>());
   STRCMP_EQUAL("store", Status["learns_from"].get<std::string>().c_str());
@@ -42,81 +42,82 @@
   Fleet.Store.put("evacuations", "a1", nlohmann::json::object());
   CHECK(Fleet.runUntil([&] {
     const auto Now = nlohmann::json::parse(
-        Fleet.askSmall(Fleet.Node->Control, "/v1/status").Body);
+        Fleet.fetchEndpoint(Fleet.Node->Control, "/v1/status").Body);
     return Now["servers_usable"] == 0 && Now["evacuated"][0] == "a1";
   }));
 }
 
-// Symptom: a job runs twice. Sequence: a server runs it and its answer is lost;
-// the node sends it once more. Cause: repeating what may have run.
-TEST(NodeProcess, NonIdempotentWorkWhoseAnswerIsLostRunsOnce) {
+// Failure: a non-idempotent request is executed twice. A server executes it,
+// the response is lost, and the node retries although the request may have run.
+TEST(NodeProcess, NonIdempotentRequestWithLostResponseRunsOnce) {
   small_fleet Fleet;
-  Fleet.setAll(behavior::LosesAnswers);
-  const auto Answer = Fleet.ask(*Fleet.Node, "/once/x", "id-1", "POST");
+  Fleet.setAll(behavior::LosesResponses);
+  const auto Answer = Fleet.fetch(*Fleet.Node, "/once/x", "id-1", "POST");
   LONGS_EQUAL(502, Answer.Status);
   LONGS_EQUAL(1, runsOf(Fleet, "id-1"));
 }
 
-TEST(NodeProcess, IdempotentWorkIsRepeatedWithinItsAttempts) {
+TEST(NodeProcess, IdempotentRequestIsRetriedUpToMaxAttempts) {
   small_fleet Fleet;
-  Fleet.setAll(behavior::LosesAnswers);
-  Fleet.ask(*Fleet.Node, "/safe/x", "id-1");
+  Fleet.setAll(behavior::LosesResponses);
+  Fleet.fetch(*Fleet.Node, "/safe/x", "id-1");
   LONGS_EQUAL(2, runsOf(Fleet, "id-1"));
 }
 
-// Symptom: a caller is told "not run" and the work runs. Cause: a refusal that
-// is given while a copy is still on its way.
-TEST(NodeProcess, WhatNoServerRanIsRefusedWithATimeToComeBack) {
+// Failure: a caller receives "not executed" and the request still runs, because
+// the node refuses it while a copy is still in flight.
+TEST(NodeProcess, UnexecutedRequestIsRefusedWithRetryAfter) {
   small_fleet Fleet;
   Fleet.setAll(behavior::Sheds);
-  const auto Answer = Fleet.ask(*Fleet.Node, "/once/x", "id-1", "POST");
+  const auto Answer = Fleet.fetch(*Fleet.Node, "/once/x", "id-1", "POST");
   LONGS_EQUAL(503, Answer.Status);
   CHECK(!Answer.RetryAfter.empty());
-  Fleet.setAll(behavior::Sound);
-  LONGS_EQUAL(200, Fleet.ask(*Fleet.Node, "/once/x", "id-2", "POST").Status);
+  Fleet.setAll(behavior::Normal);
+  LONGS_EQUAL(200, Fleet.fetch(*Fleet.Node, "/once/x", "id-2", "POST").Status);
   LONGS_EQUAL(0, runsOf(Fleet, "id-1"));
 }
 
-// Symptom: a caller takes a part of an answer, or another's, for its own.
-// Sequence: a server breaks off, sends no HTTP, or leaves out its signature.
-// Cause: passing on what wasn't checked.
-TEST(NodeProcess, NothingUnsoundReachesACaller) {
+// Failure: a caller accepts a truncated response or the response to another
+// request. A server truncates the body, sends bytes that are not HTTP, or omits
+// its signature, and the node forwards the response without validation.
+TEST(NodeProcess, InvalidResponsesAreNotForwarded) {
   for (behavior Behavior :
-       {behavior::BreaksOff, behavior::Garbles, behavior::Unsigned}) {
+       {behavior::TruncatesBody, behavior::SendsGarbage, behavior::Unsigned}) {
     small_fleet Fleet;
     Fleet.setAll(Behavior);
-    const auto Answer = Fleet.ask(*Fleet.Node, "/once/x", "id-1", "POST");
+    const auto Answer = Fleet.fetch(*Fleet.Node, "/once/x", "id-1", "POST");
     LONGS_EQUAL(502, Answer.Status);
     CHECK_FALSE(Answer.HasSignature);
     CHECK(Answer.Body.empty());
   }
 }
 
-TEST(NodeProcess, AnAnswerTooManyGoesToNobody) {
+TEST(NodeProcess, UnsolicitedResponseIsDiscarded) {
   small_fleet Fleet;
-  Fleet.setAll(behavior::AnswersTwice);
+  Fleet.setAll(behavior::RespondsTwice);
   for (int Index = 0; Index < 20; ++Index) {
     const std::string Id = "id-" + std::to_string(Index);
-    const auto Answer = Fleet.ask(*Fleet.Node, "/safe/x", Id);
+    const auto Answer = Fleet.fetch(*Fleet.Node, "/safe/x", Id);
     LONGS_EQUAL(200, Answer.Status);
     CHECK(Answer.Body == target_stand_in::bodyFor(Id));
   }
 }
 
-// Symptom: servers work for callers who are gone. Sequence: a caller closes its
-// connection while its request is worked on. Cause: nobody watches the caller's
-// connection meanwhile.
-TEST(NodeProcess, WorkOfACallerWhoLeftIsStoppedIfThatIsHarmless) {
+// Failure: servers execute requests of disconnected callers. A caller closes
+// its connection during execution, and the node does not monitor that
+// connection.
+TEST(NodeProcess, DisconnectCancelsOnlyIdempotentRequests) {
   small_fleet Fleet;
   for (auto &[Id, Target] : Fleet.Targets)
     Target->Work = std::chrono::seconds(30);
-  auto Safe = Fleet.get(*Fleet.Node, "/safe/x", "id-1");
-  auto Once = Fleet.get(*Fleet.Node, "/once/x", "id-2", "POST", "body");
+  auto Safe = Fleet.startRequest(*Fleet.Node, "/safe/x", "id-1");
+  auto Once =
+      Fleet.startRequest(*Fleet.Node, "/once/x", "id-2", "POST", "body");
   CHECK(Fleet.runUntil([&] {
     return runsOf(Fleet, "id-1") == 1 && runsOf(Fleet, "id-2") == 1;
   }));
-  Safe->leave();
-  Once->leave();
+  Safe->disconnect();
+  Once->disconnect();
   CHECK(Fleet.runUntil([&] {
     std::size_t Stopped = 0;
     for (auto &[Id, Target] : Fleet.Targets)
@@ -128,25 +129,25 @@
       CHECK_EQUAL(std::string("id-1"), Request);
 }
 
-TEST(NodeProcess, TheTimeLeftIsPassedOn) {
+TEST(NodeProcess, RemainingDeadlineIsForwarded) {
   small_fleet Fleet;
-  Fleet.ask(*Fleet.Node, "/safe/x", "id-1");
+  Fleet.fetch(*Fleet.Node, "/safe/x", "id-1");
   std::int64_t Told = -1;
   for (auto &[Id, Target] : Fleet.Targets)
-    Told = std::max(Told, Target->LastTimeLeft);
+    Told = std::max(Told, Target->LastDeadlineRemainingMs);
   CHECK(Told > 0);
   CHECK(Told <= 3'000);
 }
 
-// Symptom: a caller waits for its whole deadline. Sequence: a server takes a
-// request and never answers. Cause: no end of its own to each request.
-TEST(NodeProcess, ARequestEndsEvenIfItsServerNeverAnswers) {
+// Failure: a caller waits for its whole deadline. A server accepts a request
+// and never responds, and the node has no time-out of its own for each request.
+TEST(NodeProcess, RequestTimesOutIfServerNeverResponds) {
   small_fleet Fleet;
   Fleet.setAll(behavior::Silent);
-  LONGS_EQUAL(504, Fleet.ask(*Fleet.Node, "/once/x", "id-1", "POST").Status);
+  LONGS_EQUAL(504, Fleet.fetch(*Fleet.Node, "/once/x", "id-1", "POST").Status);
 }
 
-TEST(NodeProcess, BadRequestsAreToldAndEndTheConnection) {
+TEST(NodeProcess, MalformedRequestsAreRejectedAndCloseTheConnection) {
   small_fleet Fleet;
   const std::string Long(20'000, 'x');
   const std::pair<int, std::string> Cases[] = {
@@ -159,55 +160,54 @@
        "POST /once/ HTTP/1.1\r\nHost: a\r\nContent-Length: 200000\r\n\r\n"},
       {431, "GET /safe/ HTTP/1.1\r\nHost: a\r\nX: " + Long + Long + Long +
                 Long + "\r\n\r\n"},
-      // A head that never ends.
+      // The header section is never completed.
       {408, "GET /safe/ HTTP/1.1\r\nHost: a\r\n"}};
   for (const auto &[Status, Text] : Cases) {
     caller_call Call(Fleet.Loop, Fleet.Node->Callers, Text);
-    CHECK(Fleet.runUntil([&] { return Call.answer().IsOver; }));
-    LONGS_EQUAL(Status, Call.answer().Status);
+    CHECK(Fleet.runUntil([&] { return Call.response().IsCompleted; }));
+    LONGS_EQUAL(Status, Call.response().Status);
   }
-  LONGS_EQUAL(200, Fleet.ask(*Fleet.Node, "/safe/x", "id-1").Status);
+  LONGS_EQUAL(200, Fleet.fetch(*Fleet.Node, "/safe/x", "id-1").Status);
 }
 
-// Symptom: a node refuses a route 11 s after it was accepted. Sequence: the
-// store falls silent for a moment, shorter than the time between two signs of
-// life that the node asks for. Cause: a watch that waits too long before it is
-// made anew.
-TEST(NodeProcess, AMomentOfSilenceIsSurvivedToo) {
+// Failure: a node refuses a route 11 s after the store accepted it. The store
+// stops responding for less than the node's keep-alive interval and drops the
+// watches; the node waits too long before it renews a watch.
+TEST(NodeProcess, BriefStoreOutageDoesNotDelayChanges) {
   small_fleet Fleet;
   const int Before = Fleet.Store.Calls;
-  // The watches are waiting.
+  // Wait until the watches are pending.
   CHECK(Fleet.runUntil([&] { return Fleet.Store.Calls >= Before + 4; }));
   Fleet.Store.setMode(store_stand_in::mode::Silent);
   Fleet.Store.setMode(store_stand_in::mode::Serving);
   Fleet.putConfiguration(2, /*HasExtra=*/true);
   CHECK(Fleet.runUntil([&] {
-    return Fleet.ask(*Fleet.Node, "/extra/x", "id-1").Status == 200;
+    return Fleet.fetch(*Fleet.Node, "/extra/x", "id-1").Status == 200;
   }));
-  // The time of one watch, in calls: none was made twice.
+  // Bounds the calls to the duration of one watch: no watch was duplicated.
   CHECK(Fleet.Store.Calls < Before + 30);
 }
 
-// Symptom: a node refuses a route 3.6 s after it was accepted. Sequence: the
-// store falls silent without closing connections, comes back, a configuration
-// is accepted. Cause: a watch that the store has forgotten, and that the node
-// waits for until it times out.
-TEST(NodeProcess, AStoreThatWasSilentIsWatchedAgain) {
+// Failure: a node refuses a route 3.6 s after the store accepted it. The store
+// stops responding without closing connections, recovers, and accepts a new
+// configuration; the node waits for the time-out of a watch that the store has
+// dropped.
+TEST(NodeProcess, WatchesAreRenewedAfterStoreOutage) {
   small_fleet Fleet;
-  LONGS_EQUAL(404, Fleet.ask(*Fleet.Node, "/extra/x", "id-1").Status);
+  LONGS_EQUAL(404, Fleet.fetch(*Fleet.Node, "/extra/x", "id-1").Status);
   Fleet.Store.setMode(store_stand_in::mode::Silent);
   const int Before = Fleet.Store.Calls;
-  // The watches went unanswered, and some probes.
+  // Wait until the watches and some probes have received no response.
   CHECK(Fleet.runUntil([&] { return Fleet.Store.Calls >= Before + 8; }));
-  LONGS_EQUAL(200, Fleet.ask(*Fleet.Node, "/safe/x", "id-2").Status);
+  LONGS_EQUAL(200, Fleet.fetch(*Fleet.Node, "/safe/x", "id-2").Status);
   Fleet.Store.setMode(store_stand_in::mode::Serving);
   Fleet.putConfiguration(2, /*HasExtra=*/true);
   CHECK(Fleet.runUntil([&] {
-    return Fleet.ask(*Fleet.Node, "/extra/x", "id-3").Status == 200;
+    return Fleet.fetch(*Fleet.Node, "/extra/x", "id-3").Status == 200;
   }));
 }
 
-TEST(NodeProcess, LostHistoryIsListedAnew) {
+TEST(NodeProcess, CompactedHistoryTriggersNewList) {
   small_fleet Fleet;
   Fleet.Store.setMode(store_stand_in::mode::Refusing);
   const int Before = Fleet.Store.Calls;
@@ -216,42 +216,44 @@
   Fleet.Store.compact();
   Fleet.Store.setMode(store_stand_in::mode::Serving);
   CHECK(Fleet.runUntil([&] {
-    return Fleet.ask(*Fleet.Node, "/extra/x", "id-1").Status == 200;
+    return Fleet.fetch(*Fleet.Node, "/extra/x", "id-1").Status == 200;
   }));
 }
 
-TEST(NodeProcess, ALeavingServerGetsNothingNew) {
+TEST(NodeProcess, DrainingServerGetsNoNewRequests) {
   small_fleet Fleet;
   Fleet.listTarget(*Fleet.Targets["s1"], "a1", "draining");
   CHECK(Fleet.runUntil([&] {
     Fleet.Targets["s1"]->Runs.clear();
     for (int Index = 0; Index < 20; ++Index)
-      Fleet.ask(*Fleet.Node, "/safe/x", "id-" + std::to_string(Index));
+      Fleet.fetch(*Fleet.Node, "/safe/x", "id-" + std::to_string(Index));
     return Fleet.Targets["s1"]->Runs.empty();
   }));
 }
 
-// Symptom: a request is cut by a restart of the node that took it. Sequence:
-// SIGTERM while a server works on it. Cause: leaving without waiting.
-TEST(NodeProcess, ALeavingNodeEndsWhatItTook) {
+// Failure: a restart of the node aborts a request in flight. SIGTERM arrives
+// while a server executes the request, and the node exits without waiting.
+TEST(NodeProcess, ShutdownCompletesRequestsInFlight) {
   small_fleet Fleet;
   for (auto &[Id, Target] : Fleet.Targets)
     Target->Work = std::chrono::milliseconds(1'500);
-  auto Call = Fleet.get(*Fleet.Node, "/once/x", "id-1", "POST", "body");
+  auto Call =
+      Fleet.startRequest(*Fleet.Node, "/once/x", "id-1", "POST", "body");
   CHECK(Fleet.runUntil([&] { return runsOf(Fleet, "id-1") == 1; }));
   Fleet.signal(*Fleet.Node, SIGTERM);
   CHECK(Fleet.runUntil([&] {
-    return Fleet.askSmall(Fleet.Node->Readiness, "/amaranthhoist/readiness")
+    return Fleet
+               .fetchEndpoint(Fleet.Node->Readiness, "/amaranthhoist/readiness")
                .Status == 503;
   }));
-  CHECK(Fleet.runUntil([&] { return Call->answer().IsOver; }));
-  LONGS_EQUAL(200, Call->answer().Status);
-  CHECK(Fleet.runUntil([&] { return Fleet.hasEnded(*Fleet.Node); }));
+  CHECK(Fleet.runUntil([&] { return Call->response().IsCompleted; }));
+  LONGS_EQUAL(200, Call->response().Status);
+  CHECK(Fleet.runUntil([&] { return Fleet.hasExited(*Fleet.Node); }));
 }
 
-// Symptom: a restarted node refuses everything while the store is away.
-// Cause: knowing nobody else who could tell it what is in force.
-TEST(NodeProcess, ANodeThatStartsWithoutTheStoreLearnsFromItsSeeds) {
+// Failure: a restarted node refuses all requests during a store outage, because
+// it has no other source for the current configuration.
+TEST(NodeProcess, NodeStartedDuringStoreOutageBootstrapsFromSeeds) {
   small_fleet Fleet;
   node_process &Second = Fleet.addNode("n2", "a2", "a");
   Fleet.start(Second);
@@ -261,18 +263,18 @@
   Fleet.Store.setMode(store_stand_in::mode::Refusing);
   Fleet.start(Second);
   CHECK(Fleet.waitReady(Second));
-  LONGS_EQUAL(200, Fleet.ask(Second, "/safe/x", "id-1").Status);
+  LONGS_EQUAL(200, Fleet.fetch(Second, "/safe/x", "id-1").Status);
 }
 
-// Symptom: half of a fleet refuses everything for as long as the store is away.
-// Sequence: many instances lose power, the store goes down, they start again;
-// the few addresses in their settings belong to instances as new as they are.
-// Cause: asking nobody but those, though others send them probes all the while.
-TEST(NodeProcess, ANodeThatStartsWithoutStoreAndSeedsLearnsFromWhoProbesIt) {
+// Failure: half of a fleet refuses all requests during a store outage. Many
+// instances lose power, the store goes down, and the instances restart; the few
+// seeds in their settings have restarted as well and hold no state. The
+// instances query only these seeds, although other instances keep probing them.
+TEST(NodeProcess, NodeStartedWithoutStoreAndSeedsBootstrapsFromProbingPeers) {
   small_fleet Fleet;
   node_process &Second = Fleet.addNode("n2", "a2", "a");
   Fleet.start(Second);
-  // The first one knows it, and will probe it.
+  // The first node lists the second as a member and will probe it.
   CHECK(Fleet.runUntil([&] {
     return Fleet.logOf(*Fleet.Node).find("\"others\":1") != std::string::npos;
   }));
@@ -281,47 +283,47 @@
   Fleet.HasSeeds = false;
   Fleet.start(Second);
   CHECK(Fleet.waitReady(Second));
-  LONGS_EQUAL(200, Fleet.ask(Second, "/safe/x", "id-1").Status);
+  LONGS_EQUAL(200, Fleet.fetch(Second, "/safe/x", "id-1").Status);
 }
 
-// Symptom: callers are refused by instances that know no configuration yet.
-// Sequence: an instance starts again while the store is away; it answers its
-// peers' probes at once, and they name it in look-ups. Cause: taking a process
-// that runs for one that serves.
-TEST(NodeProcess, WhoeverIsNamedInLookUpsServes) {
+// Failure: instances without a configuration refuse callers. An instance
+// restarts during a store outage and responds to its peers' probes immediately,
+// so they list it in lookups: they treat a running process as one that can
+// serve.
+TEST(NodeProcess, LookupsListOnlyServingInstances) {
   small_fleet Fleet;
   node_process &Second = Fleet.addNode("n2", "a1", "a");
   Fleet.start(Second);
   const auto IsNamed = [&] {
     return Fleet
-               .askSmall(Fleet.Node->Lookups,
-                         "/amaranthhoist/resolve?name=h&region=a&zone=a1")
+               .fetchEndpoint(Fleet.Node->Lookups,
+                              "/amaranthhoist/resolve?name=h&region=a&zone=a1")
                .Body.find(Second.Callers) != std::string::npos;
   };
   CHECK(Fleet.runUntil(IsNamed));
   Fleet.signal(Second, SIGKILL);
   CHECK(Fleet.runUntil([&] { return !IsNamed(); }));
   Fleet.Store.setMode(store_stand_in::mode::Refusing);
-  // Nobody tells the new process anything: its peer can't be reached at the
-  // address that its settings give.
+  // The new process has no source of state: its peer is stopped, and its
+  // settings list no seeds.
   Fleet.signal(*Fleet.Node, SIGSTOP);
   Fleet.HasSeeds = false;
   Fleet.start(Second);
   CHECK(Fleet.runUntil([&] {
-    return Fleet.askSmall(Second.Readiness, "/amaranthhoist/readiness")
+    return Fleet.fetchEndpoint(Second.Readiness, "/amaranthhoist/readiness")
                .Status == 503;
   }));
   Fleet.signal(*Fleet.Node, SIGCONT);
   CHECK(Fleet.runUntil([&] {
-    return IsNamed() && Fleet.ask(Second, "/safe/x", "id-1").Status == 200;
+    return IsNamed() && Fleet.fetch(Second, "/safe/x", "id-1").Status == 200;
   }));
-  // From its first naming on it never refused for want of a configuration.
+  // The instance never refused a request for lack of a configuration.
   CHECK(Fleet.logOf(Second).find("not_configured") == std::string::npos);
 }
 
-// Symptom: nodes that don't ask the store themselves miss a change when the one
-// that they learn from dies. Cause: one source only.
-TEST(NodeProcess, ChangesArriveWhenASourceDies) {
+// Failure: nodes that do not watch the store themselves miss a change when the
+// peer that they sync from dies, because they have only one source.
+TEST(NodeProcess, ChangesArriveAfterSyncSourceDies) {
   small_fleet Fleet;
   for (int Number = 2; Number <= 5; ++Number) {
     node_process &Node = Fleet.addNode("n" + std::to_string(Number),
@@ -336,7 +338,7 @@
     const int Wanted = Version % 2 == 0 ? 200 : 404;
     for (std::size_t Alive = Dead + 1; Alive < Fleet.Nodes.size(); ++Alive)
       CHECK(Fleet.runUntil([&] {
-        return Fleet.ask(*Fleet.Nodes[Alive], "/extra/x", "id").Status ==
+        return Fleet.fetch(*Fleet.Nodes[Alive], "/extra/x", "id").Status ==
                Wanted;
       }));
     ++Version;
@@ -344,7 +346,7 @@
 }
 
 int main(int ArgumentCount, char **Arguments) {
-  // Libraries keep statics of their own, which it takes for leaks.
+  // The detector reports static objects of the libraries as leaks.
   MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
   std::signal(SIGPIPE, SIG_IGN);
   return CommandLineTestRunner::RunAllTests(ArgumentCount, Arguments);
--- a/Tests/NodeProcesses/pipelined_test.cpp
+++ b/Tests/NodeProcesses/pipelined_test.cpp
@@ -1,5 +1,4 @@
-// Requests that a caller sends before the first one is answered, over the node
-// program as it runs. No verdict depends on how long anything takes.
+// Tests HTTP pipelining with real node processes. No verdict depends on timing.
 
 #include "EventLoop/socket.h"
 #include "EventLoop/stream.h"
@@ -14,7 +13,7 @@
 
 namespace {
 
-/// Sends several requests at once on one connection and keeps what comes back.
+/// Pipelines requests on one connection and stores the received bytes.
 class pipelining_caller : private stream_owner {
 public:
   pipelining_caller(event_loop &Loop, const std::string &Address)
@@ -35,7 +34,7 @@
     append(Text, "\r\n", Method == "POST" ? "body" : "");
     Stream.write(Text);
   }
-  void leave() { Stream.close(); }
+  void disconnect() { Stream.close(); }
 
   std::string Bytes;
   bool HasEnded = false;
@@ -48,8 +47,8 @@
   stream Stream;
 };
 
-/// Where the answer to a request begins; npos: it isn't there whole.
-std::size_t answerAt(const pipelining_caller &Caller, const std::string &Id) {
+/// Returns the offset of the response to a request; npos: not yet complete.
+std::size_t responseAt(const pipelining_caller &Caller, const std::string &Id) {
   const std::size_t Body = Caller.Bytes.find(target_stand_in::bodyFor(Id));
   if (Body == std::string::npos)
     return Body;
@@ -66,10 +65,10 @@
 TEST_GROUP(Pipelined) {};
 // clang-format on
 
-// Symptom: a third of the requests on busy connections are late although their
-// servers are idle. Sequence: a caller sends a second idempotent request before
-// the first one is answered. Cause: not reading it until then.
-TEST(Pipelined, IdempotentRequestsAreServedSideBySide) {
+// Failure: a third of the requests on busy connections are late although their
+// servers are idle. A caller pipelines a second idempotent request, and the
+// node does not read it until the first response is sent.
+TEST(Pipelined, IdempotentRequestsRunConcurrently) {
   small_fleet Fleet;
   Fleet.setAll(behavior::Silent);
   pipelining_caller Caller(Fleet.Loop, Fleet.Node->Callers);
@@ -82,9 +81,9 @@
   CHECK(Caller.Bytes.empty());
 }
 
-// Symptom: a caller takes another request's answer for its own. Sequence: the
-// second of two requests is done first. Cause: answers in the order of work.
-TEST(Pipelined, AnswersKeepTheOrderOfTheRequests) {
+// Failure: a caller matches a response to the wrong request. The second of two
+// requests finishes first, and the node sends responses in completion order.
+TEST(Pipelined, ResponsesKeepRequestOrder) {
   small_fleet Fleet;
   Fleet.Targets["s1"]->Work = std::chrono::milliseconds(150);
   Fleet.Targets["s2"]->Work = std::chrono::milliseconds(1);
@@ -95,21 +94,21 @@
     Caller.send("GET", "/safe/x", Ids.back());
   }
   CHECK(Fleet.runUntil(
-      [&] { return answerAt(Caller, Ids.back()) != std::string::npos; }));
+      [&] { return responseAt(Caller, Ids.back()) != std::string::npos; }));
   CHECK_FALSE(Fleet.Targets["s1"]->Runs.empty());
   CHECK_FALSE(Fleet.Targets["s2"]->Runs.empty());
   std::size_t Before = 0;
   for (const std::string &Id : Ids) {
-    const std::size_t At = answerAt(Caller, Id);
+    const std::size_t At = responseAt(Caller, Id);
     CHECK(At != std::string::npos && (Before == 0 || At > Before));
     Before = At + 1;
   }
 }
 
-// Symptom: a job runs twice. Sequence: it is sent behind another request whose
-// answer ends the connection, so its caller sends it again elsewhere. Cause:
-// passing it on before the answers in front of it are out.
-TEST(Pipelined, NonIdempotentWorkWaitsForTheAnswersBeforeIt) {
+// Failure: a non-idempotent request is executed twice. It is pipelined behind a
+// request whose response closes the connection, so the caller retries it
+// elsewhere, but the node forwarded it before sending the preceding responses.
+TEST(Pipelined, NonIdempotentRequestWaitsForPrecedingResponses) {
   small_fleet Fleet;
   for (auto &[Id, Target] : Fleet.Targets)
     Target->Work = std::chrono::milliseconds(300);
@@ -119,17 +118,17 @@
   CHECK(Fleet.runUntil([&] { return hasRun(Fleet, "id-1"); }));
   CHECK(Fleet.runUntil([&] {
     return hasRun(Fleet, "id-2") ||
-           answerAt(Caller, "id-1") != std::string::npos;
+           responseAt(Caller, "id-1") != std::string::npos;
   }));
-  CHECK(answerAt(Caller, "id-1") != std::string::npos);
+  CHECK(responseAt(Caller, "id-1") != std::string::npos);
   CHECK(Fleet.runUntil(
-      [&] { return answerAt(Caller, "id-2") != std::string::npos; }));
+      [&] { return responseAt(Caller, "id-2") != std::string::npos; }));
 }
 
-// Symptom: a request is lost in a planned restart. Sequence: SIGTERM while
-// servers work on two requests of one connection. Cause: an answer that ends
-// the connection although the request behind it is with a server.
-TEST(Pipelined, ALeavingNodeAnswersAllThatItPassedOn) {
+// Failure: a planned restart loses a request. SIGTERM arrives while servers
+// execute two requests of one connection, and the first response closes the
+// connection although the second request was already forwarded.
+TEST(Pipelined, ShutdownSendsAllPipelinedResponses) {
   small_fleet Fleet;
   for (auto &[Id, Target] : Fleet.Targets)
     Target->Work = std::chrono::milliseconds(800);
@@ -140,14 +139,14 @@
       [&] { return hasRun(Fleet, "id-1") && hasRun(Fleet, "id-2"); }));
   Fleet.signal(*Fleet.Node, SIGTERM);
   CHECK(Fleet.runUntil([&] { return Caller.HasEnded; }));
-  CHECK(answerAt(Caller, "id-1") != std::string::npos);
-  CHECK(answerAt(Caller, "id-2") != std::string::npos);
-  CHECK(Caller.Bytes.find("Connection: close") > answerAt(Caller, "id-2"));
+  CHECK(responseAt(Caller, "id-1") != std::string::npos);
+  CHECK(responseAt(Caller, "id-2") != std::string::npos);
+  CHECK(Caller.Bytes.find("Connection: close") > responseAt(Caller, "id-2"));
 }
 
-// Symptom: servers work for callers that are gone. Sequence: a caller closes a
-// connection with two requests under way. Cause: stopping only the first.
-TEST(Pipelined, ACallerThatLeavesStopsAllItsRequests) {
+// Failure: servers execute requests of disconnected callers. A caller closes a
+// connection with two requests in flight, and the node cancels only the first.
+TEST(Pipelined, DisconnectCancelsAllPipelinedRequests) {
   small_fleet Fleet;
   Fleet.setAll(behavior::Silent);
   pipelining_caller Caller(Fleet.Loop, Fleet.Node->Callers);
@@ -155,7 +154,7 @@
   Caller.send("GET", "/safe/x", "id-2");
   CHECK(Fleet.runUntil(
       [&] { return hasRun(Fleet, "id-1") && hasRun(Fleet, "id-2"); }));
-  Caller.leave();
+  Caller.disconnect();
   CHECK(Fleet.runUntil([&] {
     std::size_t Abandoned = 0;
     for (const auto &[Id, Target] : Fleet.Targets)
@@ -164,15 +163,15 @@
   }));
 }
 
-// Symptom: an answer in the middle of another one. Sequence: garbage behind a
-// request that is being served. Cause: rejecting it at once.
-TEST(Pipelined, ARejectionWaitsForTheAnswersBeforeIt) {
+// Failure: an error response appears inside another response. Malformed bytes
+// follow a request in flight, and the node rejects them immediately.
+TEST(Pipelined, RejectionWaitsForPrecedingResponses) {
   small_fleet Fleet;
   pipelining_caller Caller(Fleet.Loop, Fleet.Node->Callers);
   Caller.send("GET", "/safe/x", "id-1");
   Caller.send("\x01", "?", "id-2");
   CHECK(Fleet.runUntil([&] { return Caller.HasEnded; }));
   const std::size_t At = Caller.Bytes.find("HTTP/1.1 400");
-  CHECK(answerAt(Caller, "id-1") == 0);
-  CHECK(At != std::string::npos && At > answerAt(Caller, "id-1"));
+  CHECK(responseAt(Caller, "id-1") == 0);
+  CHECK(At != std::string::npos && At > responseAt(Caller, "id-1"));
 }
--- a/Tests/NodeProcesses/server_state_test.cpp
+++ b/Tests/NodeProcesses/server_state_test.cpp
@@ -1,5 +1,5 @@
-// What servers say of themselves in their answers: that they want no requests
-// for a while, or that they leave.
+// Tests server states announced in responses: backoff (Retry-After) and
+// draining.
 
 #include "Text/text.h"
 #include "small_fleet.h"
@@ -11,9 +11,9 @@
 
 namespace {
 
-/// Requests for as many objects: each server is the first place of some.
+/// Each request uses another object, so that each server is primary for some.
 constexpr int Requests = 40;
-/// No test lasts so long.
+/// In seconds; longer than any test runs.
 constexpr const char *LongRest = "250";
 
 struct state_fleet : small_fleet {
@@ -28,20 +28,20 @@
   bool waitServers(int Count) {
     return runUntil([&] {
       const auto Status = nlohmann::json::parse(
-          askSmall(Node->Control, "/v1/status").Body, nullptr, false);
+          fetchEndpoint(Node->Control, "/v1/status").Body, nullptr, false);
       return Status.is_object() && Status["servers"] == Count;
     });
   }
 
-  /// Asks for many objects; how many were answered.
+  /// Requests many objects. Returns the number of successful responses.
   int askMany() {
     int Answered = 0;
     for (int Request = 0; Request < Requests; ++Request)
-      Answered += ask(*Node, "/safe/x", cat("id-", ++Asked)).Status == 200;
+      Answered += fetch(*Node, "/safe/x", cat("id-", ++Asked)).Status == 200;
     return Answered;
   }
 
-  /// The first server's entry lapses and comes back.
+  /// Removes the first server's entry from the store and restores it.
   bool lapse() {
     Store.remove("servers", "s1");
     if (!waitServers(3))
@@ -60,59 +60,60 @@
 TEST_GROUP(ServerLeaving) {};
 // clang-format on
 
-// Failure: a server that has asked for rest gets requests before its end.
-TEST(ServerRest, AServerThatAsksForRestIsLeftAlone) {
+// Failure: a server receives requests before its requested backoff has expired.
+TEST(ServerRest, ServerThatRequestsBackoffGetsNoRequests) {
   state_fleet Fleet;
   CHECK(Fleet.IsReady);
   Fleet.first().Behavior = behavior::Sheds;
-  Fleet.first().RestSeconds = LongRest;
+  Fleet.first().RetryAfterSeconds = LongRest;
   LONGS_EQUAL(Requests, Fleet.askMany());
   LONGS_EQUAL(1, Fleet.first().Arrivals);
 }
 
-// Failure: its rest is forgotten when its entry lapses and comes back.
-TEST(ServerRest, ALapseOfTheListDoesNotEndARest) {
+// Failure: the backoff is lost when the server's entry expires and returns.
+TEST(ServerRest, ExpiredEntryDoesNotEndBackoff) {
   state_fleet Fleet;
   CHECK(Fleet.IsReady);
   Fleet.first().Behavior = behavior::Sheds;
-  Fleet.first().RestSeconds = LongRest;
+  Fleet.first().RetryAfterSeconds = LongRest;
   Fleet.askMany();
   CHECK(Fleet.lapse());
   Fleet.askMany();
   LONGS_EQUAL(1, Fleet.first().Arrivals);
 }
 
-// Failure: all servers rest, and callers come back again and again before any
-// of them takes requests.
-TEST(ServerRest, WhenAllRestCallersAreToldWhenThatEnds) {
+// Failure: all servers back off, and callers retry repeatedly before any server
+// accepts requests.
+TEST(ServerRest, RetryAfterReportsEndOfBackoffWhenAllServersBackOff) {
   state_fleet Fleet;
   CHECK(Fleet.IsReady);
   Fleet.setAll(behavior::Sheds);
   for (auto &[Id, Target] : Fleet.Targets)
-    Target->RestSeconds = LongRest;
+    Target->RetryAfterSeconds = LongRest;
   Fleet.askMany();
-  const caller_answer Answer = Fleet.ask(*Fleet.Node, "/safe/x", "last");
+  const caller_response Answer = Fleet.fetch(*Fleet.Node, "/safe/x", "last");
   LONGS_EQUAL(503, Answer.Status);
   CHECK(parseNumber<double>(Answer.RetryAfter).value_or(0) > 60);
   for (auto &[Id, Target] : Fleet.Targets)
     LONGS_EQUAL(1, Target->Arrivals);
 }
 
-// Failure: a server says that it leaves and gets new requests until the list
-// says so too.
-TEST(ServerLeaving, AServerThatSaysItLeavesGetsNothingMore) {
+// Failure: a server announces that it is draining and receives new requests
+// until the list shows it as draining too.
+TEST(ServerLeaving, ServerThatAnnouncesDrainingGetsNoNewRequests) {
   state_fleet Fleet;
   CHECK(Fleet.IsReady);
-  Fleet.first().SaysItLeaves = true;
+  Fleet.first().AnnouncesDraining = true;
   LONGS_EQUAL(Requests, Fleet.askMany());
   LONGS_EQUAL(1, Fleet.first().Arrivals);
 }
 
-// Failure: its leaving is forgotten when its entry lapses and comes back.
-TEST(ServerLeaving, ALapseOfTheListDoesNotBringItBack) {
+// Failure: the draining state is lost when the server's entry expires and
+// returns.
+TEST(ServerLeaving, ExpiredEntryDoesNotEndDraining) {
   state_fleet Fleet;
   CHECK(Fleet.IsReady);
-  Fleet.first().SaysItLeaves = true;
+  Fleet.first().AnnouncesDraining = true;
   Fleet.askMany();
   CHECK(Fleet.lapse());
   Fleet.askMany();
--- a/Tests/NodeProcesses/small_fleet.h
+++ b/Tests/NodeProcesses/small_fleet.h
@@ -1,4 +1,4 @@
-/// Two servers, one node, ready: where most tests start.
+/// A fleet of two backend servers and one ready node, the setup of most tests.
 #pragma once
 
 #include "node_fleet.h"
@@ -7,10 +7,11 @@
 
 namespace amaranthhoist {
 
-/// The node's program: from the environment, or the one that was built.
+/// Returns the path of the node executable: AMARANTHHOIST_NODE if set,
+/// otherwise the one from this build.
 std::string nodeProgram();
 
-/// How often a request was run, at all servers together.
+/// Returns how often all servers together executed a request.
 int runsOf(const node_fleet &Fleet, const std::string &Id);
 
 struct small_fleet : node_fleet {
--- a/Tests/NodeProcesses/stand_in_server.cpp
+++ b/Tests/NodeProcesses/stand_in_server.cpp
@@ -12,9 +12,9 @@
 
 static constexpr std::size_t MaxHead = 65'536;
 
-/// Ports below those that the kernel gives to outgoing connections: one of
-/// these could take the port of a process that is about to start again, which
-/// then finds its address in use for as long as that connection lasts.
+/// The ports lie below the kernel's ephemeral range. Otherwise an outgoing
+/// connection could occupy the port of a process that is about to restart, and
+/// that process would find its address in use until the connection is closed.
 static constexpr int FirstPort = 10'000;
 static constexpr int Ports = 22'000;
 
@@ -31,7 +31,7 @@
 }
 
 std::string freeAddress() {
-  // Runs beside each other begin at different places.
+  // Test processes that run concurrently start at different ports.
   static int Next = static_cast<int>(stableHash(cat(getpid())) % Ports);
   for (int Try = 0; Try < Ports; ++Try) {
     Next = (Next + 1) % Ports;
@@ -64,8 +64,8 @@
   Server.retire(Number);
 }
 
-void stand_in_connection::answer(int Status, std::string_view Fields,
-                                 std::string_view AnswerBody) {
+void stand_in_connection::respond(int Status, std::string_view Fields,
+                                  std::string_view AnswerBody) {
   Stream.write(cat("HTTP/1.1 ", Status, " ", reasonOf(Status), "\r\n", Fields,
                    "Content-Length: ", AnswerBody.size(), "\r\n\r\n",
                    AnswerBody));
@@ -78,7 +78,7 @@
   listen();
 }
 
-stand_in_server::~stand_in_server() { goDown(); }
+stand_in_server::~stand_in_server() { shutDown(); }
 
 void stand_in_server::listen() {
   auto Descriptor = listenAt(*parseEndpoint(Address));
@@ -87,7 +87,7 @@
   Listener = *Descriptor;
 }
 
-void stand_in_server::goDown() {
+void stand_in_server::shutDown() {
   if (Listener >= 0) {
     Loop.unwatch(Listener);
     close(Listener);
--- a/Tests/NodeProcesses/stand_in_server.h
+++ b/Tests/NodeProcesses/stand_in_server.h
@@ -1,5 +1,5 @@
-/// A scripted HTTP server on the test's own event loop: answers at once, later,
-/// or with bytes that are no sound answer. Base of the stand-ins.
+/// A scripted HTTP server on the test's event loop. It responds immediately,
+/// with a delay, or with malformed bytes. Base class of the stand-ins.
 #pragma once
 
 #include "EventLoop/socket.h"
@@ -17,7 +17,7 @@
 
 class stand_in_server;
 
-/// One connection of a stand-in.
+/// One accepted connection of a stand-in.
 class stand_in_connection : private stream_owner {
 public:
   stand_in_connection(stand_in_server &Server, std::uint64_t Number);
@@ -26,13 +26,13 @@
   const message_head &head() const { return Reader.head(); }
   const std::string &body() { return Body; }
   [[nodiscard]] bool isOpen() const { return Stream.isOpen(); }
-  /// Names the connection, as long as it is open.
+  /// Identifies the connection while it is open.
   const std::uint64_t Number;
 
-  /// Sends bytes as they are.
+  /// Sends raw bytes.
   void send(std::string_view Bytes) { Stream.write(Bytes); }
-  /// Sends an answer and reads the next request.
-  void answer(int Status, std::string_view Fields, std::string_view Body);
+  /// Sends a response and reads the next request.
+  void respond(int Status, std::string_view Fields, std::string_view Body);
   void close() { Stream.close(); }
   void reset() { Stream.closeWithReset(); }
 
@@ -53,12 +53,12 @@
   stand_in_server(const stand_in_server &) = delete;
   stand_in_server &operator=(const stand_in_server &) = delete;
 
-  /// Its address, `ip:port`; the port is the kernel's choice.
+  /// Returns the address as `ip:port`; see freeAddress().
   [[nodiscard]] const std::string &address() const { return Address; }
-  /// Accepts nothing and closes all connections; listen() undoes it.
-  void goDown();
+  /// Stops listening and resets all connections. listen() restores the service.
+  void shutDown();
   void listen();
-  /// The open connection of that number, or nullptr.
+  /// Returns the open connection with this number, or nullptr.
   stand_in_connection *connection(std::uint64_t Number);
 
   event_loop &Loop;
@@ -79,7 +79,7 @@
   std::vector<std::unique_ptr<stand_in_connection>> Retired;
 };
 
-/// A loopback address that is free at the moment.
+/// Returns a loopback address that is unused at the time of the call.
 std::string freeAddress();
 
 } // namespace amaranthhoist
--- a/Tests/NodeProcesses/store_stand_in.cpp
+++ b/Tests/NodeProcesses/store_stand_in.cpp
@@ -43,7 +43,7 @@
 void store_stand_in::wakeWatches() {
   std::erase_if(Watches, [&](const watch &Watch) {
     stand_in_connection *Connection = connection(Watch.Connection);
-    return !Connection || answerWatch(*Connection, Watch.Kind, Watch.Since);
+    return !Connection || respondToWatch(*Connection, Watch.Kind, Watch.Since);
   });
 }
 
@@ -52,7 +52,7 @@
   if (Mode == mode::Silent)
     return;
   if (Mode == mode::Refusing) {
-    Connection.answer(503, JsonField, "{}");
+    Connection.respond(503, JsonField, "{}");
     return;
   }
   std::string_view Target = Connection.head().target();
@@ -79,14 +79,14 @@
     Name = Body["metadata"].value("name", "");
   const bool Exists = has(Kind, Name);
   if (Method == "POST" ? Exists : !Exists) {
-    Connection.answer(Exists ? 409 : 404, JsonField, "{}");
+    Connection.respond(Exists ? 409 : 404, JsonField, "{}");
     return;
   }
   if (Method == "DELETE")
     remove(Kind, Name);
   else
     put(Kind, Name, Body["specification"]);
-  Connection.answer(200, JsonField, "{}");
+  Connection.respond(200, JsonField, "{}");
 }
 
 void store_stand_in::onRead(stand_in_connection &Connection,
@@ -95,22 +95,23 @@
   if (!Since.empty()) {
     const std::uint64_t From = parseNumber<std::uint64_t>(Since).value_or(0);
     if (From < Oldest)
-      Connection.answer(410, JsonField, "{}");
-    else if (!answerWatch(Connection, Kind, From))
+      Connection.respond(410, JsonField, "{}");
+    else if (!respondToWatch(Connection, Kind, From))
       Watches.push_back({Connection.Number, Kind, From});
     return;
   }
   json Items = json::array();
   for (const auto &[Name, Object] : Objects[Kind])
     Items.push_back(Object);
-  Connection.answer(
+  Connection.respond(
       200, JsonField,
       json{{"items", Items}, {"more", false}, {"at_revision", Revision}}
           .dump());
 }
 
-bool store_stand_in::answerWatch(stand_in_connection &Connection,
-                                 const std::string &Kind, std::uint64_t Since) {
+bool store_stand_in::respondToWatch(stand_in_connection &Connection,
+                                    const std::string &Kind,
+                                    std::uint64_t Since) {
   json Events = json::array();
   for (const event &Event : History)
     if (Event.Kind == Kind && Event.Revision > Since)
@@ -118,8 +119,9 @@
           {{"deleted", Event.IsDeleted}, {"object", Event.Object}});
   if (Events.empty())
     return false;
-  Connection.answer(200, JsonField,
-                    json{{"events", Events}, {"at_revision", Revision}}.dump());
+  Connection.respond(
+      200, JsonField,
+      json{{"events", Events}, {"at_revision", Revision}}.dump());
   return true;
 }
 
--- a/Tests/NodeProcesses/store_stand_in.h
+++ b/Tests/NodeProcesses/store_stand_in.h
@@ -1,6 +1,6 @@
-/// The platform's store as a small stand-in: kinds of objects, one revision,
-/// lists, watches that wait, writes; it can fall silent, refuse everybody, and
-/// forget its history.
+/// A stand-in for the platform's store: object kinds, one global revision,
+/// lists, long-polling watches and writes. On demand it stops responding,
+/// rejects all requests, or compacts its history.
 #pragma once
 
 #include "stand_in_server.h"
@@ -14,16 +14,16 @@
   explicit store_stand_in(event_loop &Loop) : stand_in_server(Loop) {}
 
   enum class mode : std::uint8_t { Serving, Silent, Refusing };
-  /// Waiting watches are forgotten when it falls silent.
+  /// Silent mode drops all waiting watches without a response.
   void setMode(mode NewMode);
   void put(const std::string &Kind, const std::string &Name,
            const nlohmann::json &Specification);
   void remove(const std::string &Kind, const std::string &Name);
-  /// Drops the history: watches from before are told 410.
+  /// Compacts the history: watches from older revisions receive status 410.
   void compact() { Oldest = Revision; }
   [[nodiscard]] bool has(const std::string &Kind,
                          const std::string &Name) const;
-  /// Lists and watches asked for, and calls of any kind.
+  /// Number of requests received, of any kind.
   int Calls = 0;
 
 private:
@@ -32,8 +32,8 @@
                const std::string &Name);
   void onRead(stand_in_connection &Connection, const std::string &Kind,
               std::string_view Query);
-  bool answerWatch(stand_in_connection &Connection, const std::string &Kind,
-                   std::uint64_t Since);
+  bool respondToWatch(stand_in_connection &Connection, const std::string &Kind,
+                      std::uint64_t Since);
   void wakeWatches();
 
   struct event {
--- a/Tests/NodeProcesses/target_stand_in.cpp
+++ b/Tests/NodeProcesses/target_stand_in.cpp
@@ -16,29 +16,29 @@
   const std::string RequestId(Head.find("X-Attempt-Id").value_or(""));
   const auto Expected = Head.find("X-Expected-Instance");
   const auto TimeLeft = Head.find("X-Deadline-Remaining");
-  LastTimeLeft =
+  LastDeadlineRemainingMs =
       TimeLeft ? parseNumber<std::int64_t>(*TimeLeft).value_or(-1) : -1;
   if (Expected && *Expected != Id) {
-    Connection.answer(421, cat("X-Attempt-Id: ", RequestId, "\r\n"), "");
+    Connection.respond(421, cat("X-Attempt-Id: ", RequestId, "\r\n"), "");
     return;
   }
   ++Arrivals;
   if (Behavior == behavior::Sheds) {
     std::string Fields =
         cat("X-Attempt-Id: ", RequestId, "\r\nX-Not-Executed: 1\r\n");
-    if (!RestSeconds.empty()) {
-      append(Fields, "Retry-After: ", RestSeconds, "\r\n");
-      ++RestsAskedFor;
+    if (!RetryAfterSeconds.empty()) {
+      append(Fields, "Retry-After: ", RetryAfterSeconds, "\r\n");
+      ++BackoffRequests;
     }
-    if (SaysItLeaves)
+    if (AnnouncesDraining)
       append(Fields, "Server-Leaving: 1\r\n");
-    Connection.answer(503, Fields, "");
+    Connection.respond(503, Fields, "");
     return;
   }
   ++Runs[RequestId];
-  UnderWay[Connection.Number] = RequestId;
+  InFlight[Connection.Number] = RequestId;
   const std::uint64_t Number = Connection.Number;
-  if (!DeadlyPath.empty() && Head.target() == DeadlyPath) {
+  if (!CrashingPath.empty() && Head.target() == CrashingPath) {
     Loop.after(Work, [this] { crash(); });
     return;
   }
@@ -47,56 +47,56 @@
 
 void target_stand_in::crash() {
   HasCrashed = true;
-  UnderWay.clear();
-  goDown();
+  InFlight.clear();
+  shutDown();
   if (OnCrash)
     OnCrash();
 }
 
 void target_stand_in::onConnectionEnd(stand_in_connection &Connection) {
-  auto Found = UnderWay.find(Connection.Number);
-  if (Found == UnderWay.end())
+  auto Found = InFlight.find(Connection.Number);
+  if (Found == InFlight.end())
     return;
   Abandoned.push_back(Found->second);
-  UnderWay.erase(Found);
+  InFlight.erase(Found);
 }
 
 void target_stand_in::finish(std::uint64_t Number,
                              const std::string &RequestId) {
-  UnderWay.erase(Number);
+  InFlight.erase(Number);
   stand_in_connection *Connection = connection(Number);
   if (!Connection)
     return;
   const std::string Body = bodyFor(RequestId);
   const std::string Id = cat("X-Attempt-Id: ", RequestId, "\r\n");
-  const std::string Fields = cat(Id, "X-Response-Stamp: stamp-", RequestId,
-                                 "\r\nX-Server-Load: ", Load, "\r\n",
-                                 SaysItLeaves ? "Server-Leaving: 1\r\n" : "");
+  const std::string Fields = cat(
+      Id, "X-Response-Stamp: stamp-", RequestId, "\r\nX-Server-Load: ", Load,
+      "\r\n", AnnouncesDraining ? "Server-Leaving: 1\r\n" : "");
   switch (Behavior) {
-  case behavior::Sound:
+  case behavior::Normal:
   case behavior::Sheds:
-    Connection->answer(200, Fields, Body);
+    Connection->respond(200, Fields, Body);
     return;
-  case behavior::LosesAnswers:
+  case behavior::LosesResponses:
     Connection->reset();
     return;
-  case behavior::BreaksOff:
+  case behavior::TruncatesBody:
     Connection->send(cat("HTTP/1.1 200 OK\r\n", Fields,
                          "Content-Length: ", Body.size(), "\r\n\r\n",
                          Body.substr(0, Body.size() / 2)));
     Connection->close();
     return;
-  case behavior::Garbles:
+  case behavior::SendsGarbage:
     Connection->send("this is no answer\r\n\r\n");
     return;
-  case behavior::AnswersTwice:
-    Connection->answer(200, Fields, Body);
+  case behavior::RespondsTwice:
+    Connection->respond(200, Fields, Body);
     Connection->send(cat("HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\n",
                          "X-Response-Stamp: stamp-other\r\n",
                          "Content-Length: 5\r\n\r\nother"));
     return;
   case behavior::Unsigned:
-    Connection->answer(200, Id, Body);
+    Connection->respond(200, Id, Body);
     return;
   case behavior::Silent:
     return;
--- a/Tests/NodeProcesses/target_stand_in.h
+++ b/Tests/NodeProcesses/target_stand_in.h
@@ -1,5 +1,6 @@
-/// A backend server as a small stand-in: works for a while, echoes the request
-/// id, signs its answers, counts what it ran, and misbehaves on demand.
+/// A stand-in for a backend server. It works for a configured time, echoes the
+/// request id, signs its responses, counts the requests that it executed, and
+/// misbehaves on demand.
 #pragma once
 
 #include "stand_in_server.h"
@@ -16,52 +17,52 @@
       : stand_in_server(Loop), Id(std::move(Id)) {}
 
   enum class behavior : std::uint8_t {
-    Sound,
-    /// Says that it did not run the request.
+    Normal,
+    /// Responds 503 and states that the request was not executed.
     Sheds,
-    /// Runs it and resets the connection instead of answering.
-    LosesAnswers,
-    /// Breaks off in the middle of the body.
-    BreaksOff,
-    /// Sends bytes that are no answer.
-    Garbles,
-    /// Sends another answer after each.
-    AnswersTwice,
-    /// Answers without its signature.
+    /// Executes the request and resets the connection instead of responding.
+    LosesResponses,
+    /// Closes the connection in the middle of the body.
+    TruncatesBody,
+    /// Sends bytes that are not an HTTP response.
+    SendsGarbage,
+    /// Sends a second, unsolicited response after each response.
+    RespondsTwice,
+    /// Responds without the signature.
     Unsigned,
-    /// Never answers.
+    /// Never responds.
     Silent,
   };
-  behavior Behavior = behavior::Sound;
-  /// Time of the work.
+  behavior Behavior = behavior::Normal;
+  /// Execution time of a request.
   duration Work = std::chrono::milliseconds(20);
-  /// What its answers say of its load: running, waiting, slots.
+  /// Load reported in responses: running, waiting, slots.
   std::string Load = "1,0,4";
   const std::string Id;
-  /// Asks for this many seconds of rest with each request that it sheds; empty:
-  /// it doesn't.
-  std::string RestSeconds;
-  /// Says in all its answers that it leaves.
-  bool SaysItLeaves = false;
-  /// Requests that came, run or not.
+  /// Value of Retry-After, in seconds, in responses that shed a request; empty:
+  /// no such field.
+  std::string RetryAfterSeconds;
+  /// Announces in all responses that the server is draining.
+  bool AnnouncesDraining = false;
+  /// Requests received, executed or not.
   int Arrivals = 0;
-  /// Those that were answered with a time of rest.
-  int RestsAskedFor = 0;
-  /// Requests for this path end the server's process while it runs them; empty:
+  /// Requests that were shed with a Retry-After field.
+  int BackoffRequests = 0;
+  /// Requests for this path crash the server while it executes them; empty:
   /// none.
-  std::string DeadlyPath;
-  /// Whether its process has ended so.
+  std::string CrashingPath;
+  /// Whether such a request crashed the server.
   bool HasCrashed = false;
-  /// Called when it has.
+  /// Called after such a crash.
   std::function<void()> OnCrash;
-  /// How often each request was run, by its id.
+  /// Number of executions by request id.
   std::map<std::string, int> Runs;
-  /// Requests whose connection ended while they were worked on.
+  /// Requests whose connection was closed during their execution.
   std::vector<std::string> Abandoned;
-  /// Longest time left that a request came with, in milliseconds; -1: none.
-  std::int64_t LastTimeLeft = -1;
+  /// Remaining deadline of the latest request, in milliseconds; -1: none.
+  std::int64_t LastDeadlineRemainingMs = -1;
 
-  /// The body of the answer to \p RequestId.
+  /// Returns the response body for \p RequestId.
   static std::string bodyFor(std::string_view RequestId);
 
 private:
@@ -70,8 +71,8 @@
   void finish(std::uint64_t Number, const std::string &RequestId);
   void crash();
 
-  /// Requests under way, by connection.
-  std::map<std::uint64_t, std::string> UnderWay;
+  /// Requests in flight, by connection number.
+  std::map<std::uint64_t, std::string> InFlight;
 };
 
 } // namespace amaranthhoist
--- a/Tests/Soak/deadly_request.cpp
+++ b/Tests/Soak/deadly_request.cpp
@@ -6,9 +6,9 @@
 
 namespace amaranthhoist {
 
-/// Between two attempts.
+/// Time between two attempts.
 static constexpr duration Pause = std::chrono::milliseconds(100);
-/// In which nodes learn what the others know.
+/// Time within which nodes synchronize their state.
 static constexpr duration Touch = std::chrono::seconds(4);
 static constexpr std::size_t CrashesAllowed = 3;
 
@@ -24,20 +24,22 @@
 }
 
 std::unique_ptr<caller_call> deadly_request::call(node_process &Node) {
-  // Each time for the same object: another one would be another request.
+  // All attempts use the same object key: another key would give another
+  // request content.
   Fleet.ObjectKey = "deadly";
-  auto Call = Fleet.get(Node, Path, cat("d-", ++Sent));
+  auto Call = Fleet.startRequest(Node, Path, cat("d-", ++Sent));
   Fleet.ObjectKey.clear();
   return Call;
 }
 
 void deadly_request::send() {
-  std::erase_if(Calls, [](const auto &Call) { return Call->answer().IsOver; });
+  std::erase_if(Calls,
+                [](const auto &Call) { return Call->response().IsCompleted; });
   Calls.push_back(call(ChooseNode()));
   Timer = Fleet.Loop.after(Pause, [this] { send(); });
 }
 
-void deadly_request::noteCrash() { Crashes.push_back(Fleet.Loop.now()); }
+void deadly_request::recordCrash() { Crashes.push_back(Fleet.Loop.now()); }
 
 std::size_t deadly_request::lateCrashes() const {
   if (Crashes.size() < CrashesAllowed)
@@ -47,16 +49,16 @@
       Crashes.begin(), Crashes.end(), [&](instant At) { return At > Known; }));
 }
 
-void deadly_request::askAll(std::vector<std::string> &Broken) {
+void deadly_request::checkAllRefuse(std::vector<std::string> &Broken) {
   if (Crashes.size() < CrashesAllowed)
     return;
   Fleet.runFor(Touch);
   for (auto &Node : Fleet.Nodes) {
     const auto Call = call(*Node);
-    Fleet.runUntil([&] { return Call->answer().IsOver; });
-    if (Call->answer().Status != 503)
-      Broken.push_back(
-          cat(Node->Name, " answers a deadly request ", Call->answer().Status));
+    Fleet.runUntil([&] { return Call->response().IsCompleted; });
+    if (Call->response().Status != 503)
+      Broken.push_back(cat(Node->Name, " answers a deadly request ",
+                           Call->response().Status));
   }
 }
 
--- a/Tests/Soak/deadly_request.h
+++ b/Tests/Soak/deadly_request.h
@@ -1,5 +1,5 @@
-/// A request that crashes each server which runs it, and comes again at any
-/// node until the end of the run.
+/// Sends a request that crashes each server executing it, repeatedly and to
+/// varying nodes, until the end of the run.
 #pragma once
 
 #include "node_fleet.h"
@@ -15,21 +15,23 @@
 public:
   static constexpr const char *Path = "/safe/deadly";
 
-  /// \p ChooseNode gives the node for the next attempt.
+  /// \p ChooseNode selects the node for the next attempt.
   deadly_request(node_fleet &Fleet, std::function<node_process &()> ChooseNode);
   ~deadly_request();
 
   void begin();
-  /// Sends nothing more.
+  /// Stops sending.
   void end() { Fleet.Loop.cancel(Timer); }
-  /// A server has crashed under it.
-  void noteCrash();
+  /// Records that the request crashed a server.
+  void recordCrash();
 
   [[nodiscard]] std::size_t crashes() const { return Crashes.size(); }
-  /// Servers that it crashed when all nodes had had time to learn of the third.
+  /// Returns the number of servers crashed after all nodes had time to receive
+  /// the third crash report.
   [[nodiscard]] std::size_t lateCrashes() const;
-  /// Sends it to each node; those that don't refuse it, a sentence each.
-  void askAll(std::vector<std::string> &Broken);
+  /// Sends the request to each node. Adds a sentence to \p Broken for each node
+  /// that does not refuse it.
+  void checkAllRefuse(std::vector<std::string> &Broken);
 
 private:
   std::unique_ptr<caller_call> call(node_process &Node);
--- a/Tests/Soak/link_proxy.cpp
+++ b/Tests/Soak/link_proxy.cpp
@@ -8,12 +8,14 @@
 
 namespace amaranthhoist {
 
-/// Of a delayed link, one way: more than the retries between nodes wait for.
+/// One-way delay of a delayed link. Exceeds the retry time-out between nodes.
 static constexpr duration Delay = std::chrono::milliseconds(300);
-/// The proxy's own side never gives up a connection by itself.
-static constexpr duration Patience = std::chrono::seconds(120);
+/// Time-out of connections to the server. Long enough that the proxy itself
+/// never closes a connection.
+static constexpr duration ConnectionTimeout = std::chrono::seconds(120);
 
-/// One direction of a connection: reads from one stream, writes to the other.
+/// One proxied connection: forwards bytes between the caller's and the server's
+/// stream.
 class proxied_connection {
 public:
   explicit proxied_connection(link_proxy &Proxy)
@@ -25,7 +27,7 @@
 
   bool open(int Accepted) {
     const auto Endpoint = parseEndpoint(Proxy.Server);
-    auto Connecting = connectTo(*Endpoint, Patience);
+    auto Connecting = connectTo(*Endpoint, ConnectionTimeout);
     const bool HasServer =
         Connecting && Server.open(*Connecting, /*IsConnected=*/false);
     const bool HasCaller = Caller.open(Accepted, /*IsConnected=*/true);
@@ -37,7 +39,7 @@
     Server.closeWithReset();
   }
 
-  /// Passes on what the link lets through by now.
+  /// Forwards the pieces that are due and that the link mode permits.
   void deliver() {
     Proxy.Loop.cancel(NextDelivery);
     const instant Now = Proxy.Loop.now();
@@ -55,7 +57,7 @@
   }
 
 private:
-  /// Bytes on their way; without bytes: the end of that direction.
+  /// Bytes in transit. A piece without bytes is the end of that direction.
   struct piece {
     bool IsToServer = false;
     instant Due{};
@@ -69,10 +71,10 @@
         : Owner(Owner), IsToServer(IsToServer) {}
     void onConnected() override { Owner.Server.resume(); }
     void onBytes(std::string_view Bytes) override {
-      Owner.take({IsToServer, {}, std::string(Bytes), {}});
+      Owner.enqueue({IsToServer, {}, std::string(Bytes), {}});
     }
     void onEnd(stream_end End) override {
-      Owner.take({IsToServer, {}, {}, End});
+      Owner.enqueue({IsToServer, {}, {}, End});
     }
 
   private:
@@ -86,7 +88,7 @@
     return Proxy.Mode != link_mode::OneWay || IsToServer;
   }
 
-  void take(piece Piece) {
+  void enqueue(piece Piece) {
     Piece.Due = Proxy.Loop.now();
     if (Proxy.Mode == link_mode::Delayed)
       Piece.Due += Delay;
--- a/Tests/Soak/link_proxy.h
+++ b/Tests/Soak/link_proxy.h
@@ -1,5 +1,5 @@
-/// A TCP proxy on loopback that stands for a link: it passes bytes on, delays
-/// them, holds them back in one direction or both, or resets connections.
+/// A TCP proxy on loopback that simulates a link. It forwards bytes, delays
+/// them, blocks one or both directions, or resets connections.
 #pragma once
 
 #include "EventLoop/socket.h"
@@ -14,11 +14,11 @@
 
 enum class link_mode : std::uint8_t {
   Sound,
-  /// Bytes come late, in order.
+  /// Forwards bytes with a delay, in order.
   Delayed,
-  /// Nothing passes; it does once the link is sound again.
+  /// Blocks both directions. Held bytes are forwarded when the mode changes.
   Silent,
-  /// Only what goes towards the server passes.
+  /// Forwards only bytes to the server.
   OneWay,
 };
 
@@ -26,7 +26,7 @@
 
 class link_proxy : private io_handler {
 public:
-  /// Passes on to \p Server, `ip:port`.
+  /// Forwards to \p Server, `ip:port`.
   link_proxy(event_loop &Loop, std::string Server);
   ~link_proxy() override;
   link_proxy(const link_proxy &) = delete;
@@ -34,10 +34,10 @@
 
   [[nodiscard]] const std::string &address() const { return Address; }
   void setMode(link_mode NewMode);
-  /// Resets all connections; new ones work.
+  /// Resets all connections. New connections are accepted.
   void resetAll();
   /// Resets all connections and refuses new ones, as an address without a
-  /// server does; listen() undoes it.
+  /// server does. listen() restores the service.
   void goDown();
   void listen();
 
--- a/Tests/Soak/main.cpp
+++ b/Tests/Soak/main.cpp
@@ -1,5 +1,5 @@
-/// The soak's command line: runs seeds, prints a line each, and fails when a
-/// promise was broken.
+/// Command line of the soak: runs seeds, prints one line per seed, and fails if
+/// a guarantee was violated.
 #include "Text/text.h"
 #include "soak_run.h"
 
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// "3", "1-50".
+/// Parses "3" or "1-50".
 std::vector<std::uint64_t> parseSeeds(std::string_view Text) {
   std::vector<std::uint64_t> Seeds;
   const auto Parts = split(Text, '-');
@@ -25,7 +25,7 @@
   return Seeds;
 }
 
-/// A seed a line, with its cause behind it.
+/// Reads one seed per line; the rest of the line states its cause.
 std::vector<std::uint64_t> readSeeds(const std::string &File) {
   std::vector<std::uint64_t> Seeds;
   std::ifstream Stream(File);
@@ -69,7 +69,8 @@
       "servers", "", cxxopts::value<std::size_t>()->default_value("6"))(
       "callers", "", cxxopts::value<std::size_t>()->default_value("16"))(
       "keep", "keep the logs of runs that failed")("help", "");
-  // Caught as text: everything else here is an outcome.
+  // Reports exceptions, such as those of bad options, as text. All other
+  // failures are results of a run.
   try {
     const auto Parsed = Options.parse(ArgumentCount, Arguments);
     std::vector<std::uint64_t> Seeds =
--- a/Tests/Soak/schedule.cpp
+++ b/Tests/Soak/schedule.cpp
@@ -39,13 +39,13 @@
     "server leaves",
     "deadly request"};
 
-/// Kinds that the first draw knows. The others are drawn from a generator of
-/// their own, so that a seed keeps the faults that it had.
+/// Number of kinds in the first draw. Kinds added later are drawn from a
+/// separate generator, so that existing seeds keep their faults.
 static constexpr std::size_t FirstKinds = 28;
 static constexpr std::uint64_t SecondStream = 0x5eed;
 static constexpr std::size_t MostOfOthers = 3;
 
-/// Shortest and longest time of a fault.
+/// Shortest and longest duration of a fault.
 static constexpr int ShortestMs = 100;
 static constexpr int LongestMs = 2'500;
 
--- a/Tests/Soak/schedule.h
+++ b/Tests/Soak/schedule.h
@@ -1,4 +1,4 @@
-/// The faults of one run, drawn from its seed. Pure.
+/// Draws the faults of one run from its seed. Has no side effects.
 #pragma once
 
 #include "Core/core.h"
@@ -10,26 +10,26 @@
 namespace amaranthhoist {
 
 enum class fault_kind : std::uint8_t {
-  // Processes of nodes.
+  // Node processes.
   Kill,
   Terminate,
   Pause,
   Reload,
-  // The store, and one node's link to it.
+  // The store, and the link between one node and the store.
   StoreSilent,
   StoreRefuses,
   StoreAway,
-  StoreForgets,
+  StoreLosesHistory,
   StoreLinkSilent,
   StoreLinkDelayed,
   StoreLinkOneWay,
   StoreLinkReset,
   // Backend servers and the links to them.
   ServerSheds,
-  ServerLosesAnswers,
-  ServerBreaksOff,
-  ServerGarbles,
-  ServerAnswersTwice,
+  ServerLosesResponses,
+  ServerTruncatesBody,
+  ServerSendsGarbage,
+  ServerRespondsTwice,
   ServerUnsigned,
   ServerSilent,
   ServerSlow,
@@ -42,10 +42,10 @@
   Drain,
   Configure,
   Evacuate,
-  // Servers that ask for rest, or say themselves that they leave; a request
-  // that crashes those which run it.
-  ServerRests,
-  ServerLeaves,
+  // Servers that request backoff or announce that they are draining, and a
+  // request that crashes the servers executing it.
+  ServerRequestsBackoff,
+  ServerAnnouncesDraining,
   DeadlyRequest,
 };
 inline constexpr std::size_t FaultKinds = 31;
@@ -54,10 +54,10 @@
 
 struct fault {
   fault_kind Kind = fault_kind::Kill;
-  /// From the start of traffic.
+  /// Offset from the start of traffic.
   duration At{};
   duration For{};
-  /// Which node or server, modulo their number.
+  /// Index of the node or server, modulo their number.
   std::size_t Subject = 0;
 };
 
@@ -67,8 +67,8 @@
   std::size_t Most = 12;
 };
 
-/// Faults in the order of their beginnings; they may overlap, also on one
-/// subject.
+/// Returns the faults ordered by start time. Faults may overlap, also on the
+/// same subject.
 std::vector<fault> makeSchedule(std::uint64_t Seed,
                                 const schedule_limits &Limits);
 
--- a/Tests/Soak/soak_caller.cpp
+++ b/Tests/Soak/soak_caller.cpp
@@ -5,11 +5,12 @@
 namespace amaranthhoist {
 
 static constexpr duration Deadline = std::chrono::milliseconds(3'000);
-/// A caller gives up this long after its deadline: its node may be paused.
-static constexpr duration GivesUpAfter = Deadline + std::chrono::seconds(1);
+/// A caller closes the connection this long after it sent a request, 1 s after
+/// the deadline, because its node may be paused.
+static constexpr duration CallerTimeout = Deadline + std::chrono::seconds(1);
 static constexpr int LongestPauseMs = 40;
-/// One in so many callers' requests is sent by leaving before the answer.
-static constexpr std::uint64_t LeavesOneIn = 40;
+/// For one in this many requests the caller disconnects before the response.
+static constexpr std::uint64_t DisconnectsOneIn = 40;
 
 soak_caller::soak_caller(event_loop &Loop, std::string Name, std::uint64_t Seed,
                          std::function<std::string()> ChooseNode)
@@ -36,7 +37,7 @@
   Timer = 0;
   if (IsStopping)
     return;
-  attempt_seen Attempt;
+  observed_attempt Attempt;
   Attempt.Id = cat(Name, "-", Attempts.size());
   Attempt.IsIdempotent = Random() % 2 == 0;
   Attempts.push_back(Attempt);
@@ -50,8 +51,8 @@
       return;
     }
   }
-  const bool Leaves = Random() % LeavesOneIn == 0;
-  Timer = Loop.after(Leaves ? Deadline / 30 : GivesUpAfter, [this] {
+  const bool Disconnects = Random() % DisconnectsOneIn == 0;
+  Timer = Loop.after(Disconnects ? Deadline / 30 : CallerTimeout, [this] {
     Timer = 0;
     Attempts.back().Status = 0;
     dropConnection();
@@ -93,7 +94,7 @@
 
 void soak_caller::end() {
   Loop.cancel(Timer);
-  Attempts.back().IsOver = true;
+  Attempts.back().IsCompleted = true;
   Current = false;
   Timer = Loop.after(std::chrono::milliseconds(Random() % LongestPauseMs),
                      [this] { send(); });
--- a/Tests/Soak/soak_caller.h
+++ b/Tests/Soak/soak_caller.h
@@ -1,5 +1,5 @@
-/// A caller that sends one request after the other over a connection that it
-/// keeps until it ends, and remembers what it was told.
+/// A caller that sends requests one after the other on a keep-alive connection
+/// and records the responses.
 #pragma once
 
 #include "HttpConnection/client_connection.h"
@@ -12,29 +12,29 @@
 
 namespace amaranthhoist {
 
-/// One attempt, as its caller saw it.
-struct attempt_seen {
+/// One attempt as observed by its caller.
+struct observed_attempt {
   std::string Id;
   bool IsIdempotent = true;
-  /// 0: no whole answer.
+  /// 0 if no complete response was received.
   int Status = 0;
   bool HasSignature = false;
   std::string Body;
-  bool IsOver = false;
+  bool IsCompleted = false;
 };
 
 class soak_caller : private call_owner {
 public:
-  /// \p ChooseNode gives the address for a new connection.
+  /// \p ChooseNode returns the address for a new connection.
   soak_caller(event_loop &Loop, std::string Name, std::uint64_t Seed,
               std::function<std::string()> ChooseNode);
   ~soak_caller() override;
 
   void start();
-  /// Sends nothing more; the attempt under way goes on.
+  /// Stops sending. The attempt in flight continues.
   void stop() { IsStopping = true; }
   [[nodiscard]] bool isIdle() const { return !Current; }
-  [[nodiscard]] const std::vector<attempt_seen> &attempts() const {
+  [[nodiscard]] const std::vector<observed_attempt> &attempts() const {
     return Attempts;
   }
 
@@ -54,7 +54,7 @@
   std::function<std::string()> ChooseNode;
   std::unique_ptr<client_connection> Connection;
   std::vector<std::unique_ptr<client_connection>> Retired;
-  std::vector<attempt_seen> Attempts;
+  std::vector<observed_attempt> Attempts;
   timer_id Timer = 0;
   bool Current = false;
   bool IsStopping = false;
--- a/Tests/Soak/soak_run.cpp
+++ b/Tests/Soak/soak_run.cpp
@@ -12,12 +12,13 @@
 using behavior = target_stand_in::behavior;
 
 static constexpr std::array<const char *, 3> Domains = {"a1", "a2", "b1"};
-/// Time without faults at the end of each run before callers stop.
+/// Fault-free time at the end of each run before the callers stop.
 static constexpr duration CalmTime = std::chrono::milliseconds(1'500);
 static constexpr duration SlowWork = std::chrono::milliseconds(600);
-/// Until the next start of a server that crashed.
+/// Time until a crashed server restarts.
 static constexpr duration DownTime = std::chrono::seconds(1);
-/// What was under way may still reach a server that has asked for rest.
+/// Requests in flight may still reach a server during this time after it has
+/// requested backoff.
 static constexpr duration RestBegins = std::chrono::milliseconds(500);
 
 soak_run::soak_run(std::string Program, std::uint64_t Seed,
@@ -59,17 +60,17 @@
   auto &Target = Fleet.Targets[Server->Id];
   Target = std::make_unique<target_stand_in>(Fleet.Loop, Server->Id);
   Server->Link = std::make_unique<link_proxy>(Fleet.Loop, Target->address());
-  Target->DeadlyPath = deadly_request::Path;
+  Target->CrashingPath = deadly_request::Path;
   Target->OnCrash = [this, &Crashed = *Server] { restartAfterCrash(Crashed); };
   Fleet.listTarget(*Target, Domain, "ready", Server->Link->address());
   Servers.push_back(std::move(Server));
 }
 
 void soak_run::restartAfterCrash(server &Server) {
-  Deadly.noteCrash();
+  Deadly.recordCrash();
   Server.Link->goDown();
   Fleet.Loop.after(DownTime, [this, &Server] {
-    standIn(Server).goDown();
+    standIn(Server).shutDown();
     standIn(Server).listen();
     Server.Link->goDown();
     Server.Link->listen();
@@ -77,20 +78,20 @@
 }
 
 void soak_run::restart(node_process &Node) {
-  // It may have been started again by another fault meanwhile.
-  if (Fleet.hasEnded(Node))
+  // Another fault may have restarted the node already.
+  if (Fleet.hasExited(Node))
     Fleet.start(Node);
 }
 
-bool soak_run::isEnding(node_process &Node) {
-  auto Found = ToldToEnd.find(&Node);
-  return Found != ToldToEnd.end() && Found->second == Node.Process;
+bool soak_run::isTerminating(node_process &Node) {
+  auto Found = Terminating.find(&Node);
+  return Found != Terminating.end() && Found->second == Node.Process;
 }
 
 void soak_run::begin(const fault &Fault) {
   if (Fault.Kind <= fault_kind::Reload)
     beginAtNode(Fault);
-  else if (Fault.Kind <= fault_kind::StoreForgets)
+  else if (Fault.Kind <= fault_kind::StoreLosesHistory)
     beginAtStore(Fault);
   else if (Fault.Kind <= fault_kind::StoreLinkReset)
     beginAtStoreLink(Fault);
@@ -101,12 +102,12 @@
   else if (Fault.Kind <= fault_kind::Evacuate)
     beginChange(Fault);
   else
-    beginOwnWord(Fault);
+    beginServerSignal(Fault);
 }
 
 void soak_run::beginAtNode(const fault &Fault) {
   node_process &Node = *Fleet.Nodes[Fault.Subject % Fleet.Nodes.size()];
-  if (Fleet.hasEnded(Node))
+  if (Fleet.hasExited(Node))
     return;
   ProcessFaults += Fault.Kind == fault_kind::Reload ? 0 : 1;
   switch (Fault.Kind) {
@@ -117,14 +118,14 @@
   case fault_kind::Pause:
     Fleet.signal(Node, SIGSTOP);
     Fleet.Loop.after(Fault.For, [this, &Node] {
-      if (!Fleet.hasEnded(Node))
+      if (!Fleet.hasExited(Node))
         Fleet.signal(Node, SIGCONT);
     });
     return;
   default:
-    // Whoever was told to end is started again when calm returns.
+    // waitUntilSettled() restarts terminated nodes after the last fault.
     if (Fault.Kind == fault_kind::Terminate)
-      ToldToEnd[&Node] = Node.Process;
+      Terminating[&Node] = Node.Process;
     Fleet.signal(Node, Fault.Kind == fault_kind::Terminate ? SIGTERM : SIGHUP);
     return;
   }
@@ -133,14 +134,14 @@
 void soak_run::beginAtStore(const fault &Fault) {
   using mode = store_stand_in::mode;
   store_stand_in &Store = Fleet.Store;
-  if (Fault.Kind == fault_kind::StoreForgets) {
+  if (Fault.Kind == fault_kind::StoreLosesHistory) {
     Store.compact();
     return;
   }
   if (Fault.Kind == fault_kind::StoreAway) {
-    Store.goDown();
+    Store.shutDown();
     Fleet.Loop.after(Fault.For, [&Store] {
-      Store.goDown();
+      Store.shutDown();
       Store.listen();
     });
     return;
@@ -176,17 +177,17 @@
   case fault_kind::ServerSheds:
     Target.Behavior = behavior::Sheds;
     break;
-  case fault_kind::ServerLosesAnswers:
-    Target.Behavior = behavior::LosesAnswers;
+  case fault_kind::ServerLosesResponses:
+    Target.Behavior = behavior::LosesResponses;
     break;
-  case fault_kind::ServerBreaksOff:
-    Target.Behavior = behavior::BreaksOff;
+  case fault_kind::ServerTruncatesBody:
+    Target.Behavior = behavior::TruncatesBody;
     break;
-  case fault_kind::ServerGarbles:
-    Target.Behavior = behavior::Garbles;
+  case fault_kind::ServerSendsGarbage:
+    Target.Behavior = behavior::SendsGarbage;
     break;
-  case fault_kind::ServerAnswersTwice:
-    Target.Behavior = behavior::AnswersTwice;
+  case fault_kind::ServerRespondsTwice:
+    Target.Behavior = behavior::RespondsTwice;
     break;
   case fault_kind::ServerUnsigned:
     Target.Behavior = behavior::Unsigned;
@@ -198,15 +199,15 @@
     Target.Work = SlowWork;
     break;
   default:
-    Target.goDown();
+    Target.shutDown();
     Fleet.Loop.after(Fault.For, [&Target] {
-      Target.goDown();
+      Target.shutDown();
       Target.listen();
     });
     return;
   }
   Fleet.Loop.after(Fault.For, [&Target] {
-    Target.Behavior = behavior::Sound;
+    Target.Behavior = behavior::Normal;
     Target.Work = std::chrono::milliseconds(20);
   });
 }
@@ -238,7 +239,7 @@
 void soak_run::beginChange(const fault &Fault) {
   server &Server = *Servers[Fault.Subject % Servers.size()];
   if (Fault.Kind == fault_kind::Drain) {
-    // Half of them may leave; the rest serve on.
+    // At most half of the servers are drained, so that the others can serve.
     if (2 * Drained.size() < Servers.size())
       drain(Server, Fault.For);
     return;
@@ -255,24 +256,24 @@
   });
 }
 
-void soak_run::beginRest(target_stand_in &Target, duration For) {
+void soak_run::beginBackoff(target_stand_in &Target, duration For) {
   Target.Behavior = behavior::Sheds;
-  Target.RestSeconds = cat(static_cast<double>(For.count()) / 1e6);
+  Target.RetryAfterSeconds = cat(static_cast<double>(For.count()) / 1e6);
   Fleet.Loop.after(RestBegins, [this, &Target, For] {
-    const int Before = Target.RestsAskedFor;
-    Fleet.Loop.after(std::max(duration::zero(), For - RestBegins),
-                     [this, &Target, Before] {
-                       LateAtRest.push_back(Target.RestsAskedFor - Before);
-                       Target.Behavior = behavior::Sound;
-                       Target.RestSeconds.clear();
-                     });
+    const int Before = Target.BackoffRequests;
+    Fleet.Loop.after(
+        std::max(duration::zero(), For - RestBegins), [this, &Target, Before] {
+          RequestsDuringBackoff.push_back(Target.BackoffRequests - Before);
+          Target.Behavior = behavior::Normal;
+          Target.RetryAfterSeconds.clear();
+        });
   });
 }
 
-void soak_run::beginOwnWord(const fault &Fault) {
+void soak_run::beginServerSignal(const fault &Fault) {
   server &Server = *Servers[Fault.Subject % Servers.size()];
-  if (Fault.Kind == fault_kind::ServerRests) {
-    beginRest(standIn(Server), Fault.For);
+  if (Fault.Kind == fault_kind::ServerRequestsBackoff) {
+    beginBackoff(standIn(Server), Fault.For);
     return;
   }
   if (Fault.Kind == fault_kind::DeadlyRequest) {
@@ -284,33 +285,33 @@
   if (HasLeft || 2 * Drained.size() >= Servers.size())
     return;
   Drained.push_back(Server.Id);
-  standIn(Server).SaysItLeaves = true;
+  standIn(Server).AnnouncesDraining = true;
   Fleet.Loop.after(
       Fault.For, [this, Id = Server.Id] { Fleet.Store.remove("servers", Id); });
 }
 
-/// Ends what is still disturbed. What the faults themselves end later finds
-/// nothing to do.
-void soak_run::heal() {
+/// Ends the remaining link faults. Timers of these faults that expire later
+/// have no effect.
+void soak_run::endFaults() {
   for (auto &Link : StoreLinks)
     Link->setMode(link_mode::Sound);
   for (auto &Server : Servers)
     Server->Link->setMode(link_mode::Sound);
 }
 
-/// Waits until every node runs and serves, with the newest configuration.
-bool soak_run::settle() {
+/// Waits until every node runs and serves the latest configuration.
+bool soak_run::waitUntilSettled() {
   return std::all_of(
       Fleet.Nodes.begin(), Fleet.Nodes.end(), [this](auto &Node) {
         return Fleet.runUntil([&] {
           restart(*Node);
-          // A node that leaves still serves for some seconds: it has to end,
-          // and its next start has to serve.
-          if (isEnding(*Node))
+          // A node that is shutting down still serves for some seconds. It has
+          // to exit, and its next process has to serve.
+          if (isTerminating(*Node))
             return false;
           const int Wanted = Version % 2 == 0 ? 200 : 404;
-          return Fleet.ask(*Node, "/extra/x", "probe").Status == Wanted &&
-                 Fleet.ask(*Node, "/safe/x", "probe").Status == 200;
+          return Fleet.fetch(*Node, "/extra/x", "probe").Status == Wanted &&
+                 Fleet.fetch(*Node, "/safe/x", "probe").Status == 200;
         });
       });
 }
@@ -324,40 +325,41 @@
   });
 }
 
-/// With all faults over: drained servers get nothing, and every node serves.
-void soak_run::checkAfterwards(std::vector<std::string> &Broken) {
+/// Checks after the last fault that drained servers get no requests and that
+/// every node serves.
+void soak_run::checkAfterFaults(std::vector<std::string> &Broken) {
   std::map<std::string, std::size_t> Before;
   for (const std::string &Id : Drained)
     Before[Id] = Fleet.Targets.at(Id)->Runs.size();
   for (auto &Node : Fleet.Nodes)
     for (int Index = 0; Index < 20; ++Index)
-      if (Fleet.ask(*Node, "/safe/x", cat("after-", Index)).Status != 200)
-        Broken.push_back(cat(Node->Name, " doesn't serve afterwards"));
+      if (Fleet.fetch(*Node, "/safe/x", cat("after-", Index)).Status != 200)
+        Broken.push_back(cat(Node->Name, " doesn't serve after the faults"));
   for (const std::string &Id : Drained)
     if (Fleet.Targets.at(Id)->Runs.size() != Before[Id])
-      Broken.push_back(cat(Id, " left and got new work"));
+      Broken.push_back(cat(Id, " drained and got new requests"));
 }
 
-/// What servers said of themselves, and what they crashed under, was heeded. A
-/// node that starts again or wakes up has to be told once more.
-void soak_run::checkOwnWords(std::vector<std::string> &Broken) {
+/// Checks that nodes respected backoff and quarantine. A node that restarts or
+/// resumes from a pause may send one further request to each server in backoff.
+void soak_run::checkServerSignals(std::vector<std::string> &Broken) {
   const std::size_t Told = Fleet.Nodes.size() + ProcessFaults;
-  for (int Late : LateAtRest)
+  for (int Late : RequestsDuringBackoff)
     if (static_cast<std::size_t>(Late) > Told)
-      Broken.push_back(cat("a server that rested got ", Late, " requests"));
+      Broken.push_back(cat("a server in backoff got ", Late, " requests"));
   if (Deadly.lateCrashes() > ProcessFaults)
     Broken.push_back(cat("a deadly request crashed ", Deadly.lateCrashes(),
                          " servers late, ", Deadly.crashes(), " in all"));
-  // Nodes that all start again have forgotten what they knew.
+  // If all nodes have restarted, the quarantine may be lost.
   if (ProcessFaults < Fleet.Nodes.size())
-    Deadly.askAll(Broken);
+    Deadly.checkAllRefuse(Broken);
 }
 
 soak_result soak_run::run(const schedule_limits &Limits, bool KeepLogs) {
   soak_result Result;
   for (auto &Node : Fleet.Nodes)
     Fleet.start(*Node);
-  if (!settle())
+  if (!waitUntilSettled())
     Result.Broken.emplace_back("the fleet doesn't start");
   for (auto &Caller : Callers)
     Caller->start();
@@ -368,15 +370,15 @@
   for (const fault &Fault : Result.Faults)
     Last = std::max(Last, Fault.At + Fault.For);
   Fleet.runFor(Last + CalmTime);
-  heal();
+  endFaults();
   Deadly.end();
-  if (!settle())
+  if (!waitUntilSettled())
     Result.Broken.emplace_back("the fleet doesn't settle after the faults");
   stopCallers();
-  checkAfterwards(Result.Broken);
-  checkOwnWords(Result.Broken);
+  checkAfterFaults(Result.Broken);
+  checkServerSignals(Result.Broken);
 
-  std::vector<attempt_seen> Attempts;
+  std::vector<observed_attempt> Attempts;
   for (const auto &Caller : Callers)
     Attempts.insert(Attempts.end(), Caller->attempts().begin(),
                     Caller->attempts().end());
@@ -388,7 +390,7 @@
   for (const std::string &Sentence : checkAttempts(Attempts, Runs))
     Result.Broken.push_back(Sentence);
   Result.Attempts = Attempts.size();
-  for (const attempt_seen &Attempt : Attempts) {
+  for (const observed_attempt &Attempt : Attempts) {
     Result.Served += Attempt.Status == 200 ? 1 : 0;
     Result.Refused += Attempt.Status == 503 ? 1 : 0;
   }
--- a/Tests/Soak/soak_run.h
+++ b/Tests/Soak/soak_run.h
@@ -1,4 +1,4 @@
-/// One run of the soak: a fleet of nodes with stand-ins around it, callers, the
+/// Runs one seed of the soak: a fleet of nodes with stand-ins and callers, the
 /// faults of a schedule, and the verdict.
 #pragma once
 
@@ -26,9 +26,9 @@
   std::size_t Attempts = 0;
   std::size_t Served = 0;
   std::size_t Refused = 0;
-  /// Promises that were broken, a sentence each.
+  /// Violated guarantees, one sentence each.
   std::vector<std::string> Broken;
-  /// Where the nodes' logs were left, if so.
+  /// Directory with the nodes' logs; empty if they were removed.
   std::string Folder;
 };
 
@@ -36,7 +36,7 @@
 public:
   soak_run(std::string Program, std::uint64_t Seed, const soak_size &Size);
 
-  /// \p KeepLogs leaves the nodes' logs behind when a promise was broken.
+  /// \p KeepLogs keeps the nodes' logs if a guarantee was violated.
   soak_result run(const schedule_limits &Limits, bool KeepLogs);
 
 private:
@@ -55,19 +55,19 @@
   void beginAtServer(const fault &Fault);
   void beginAtServerLink(const fault &Fault);
   void beginChange(const fault &Fault);
-  void beginOwnWord(const fault &Fault);
-  void beginRest(target_stand_in &Target, duration For);
+  void beginServerSignal(const fault &Fault);
+  void beginBackoff(target_stand_in &Target, duration For);
   void restartAfterCrash(server &Server);
   void restart(node_process &Node);
-  /// Whether it was told to end and hasn't ended yet.
-  bool isEnding(node_process &Node);
+  /// Returns true if the process received SIGTERM and still runs.
+  bool isTerminating(node_process &Node);
   void drain(server &Server, duration For);
-  void heal();
-  bool settle();
+  void endFaults();
+  bool waitUntilSettled();
   void stopCallers();
-  void checkAfterwards(std::vector<std::string> &Broken);
+  void checkAfterFaults(std::vector<std::string> &Broken);
   target_stand_in &standIn(const server &Server);
-  void checkOwnWords(std::vector<std::string> &Broken);
+  void checkServerSignals(std::vector<std::string> &Broken);
   node_process &chooseNode();
 
   std::mt19937_64 Random;
@@ -77,14 +77,15 @@
   std::vector<std::unique_ptr<soak_caller>> Callers;
   deadly_request Deadly{Fleet,
                         [this]() -> node_process & { return chooseNode(); }};
-  /// Requests at servers that rested, from half a second after they asked.
-  std::vector<int> LateAtRest;
-  /// Faults that a node's process has had.
+  /// Requests that reached servers in backoff, counted from half a second after
+  /// they first requested it.
+  std::vector<int> RequestsDuringBackoff;
+  /// Faults of node processes (kill, terminate, pause).
   std::size_t ProcessFaults = 0;
-  /// Ids of servers that left.
+  /// Ids of drained servers.
   std::vector<std::string> Drained;
-  /// Processes that were told to end, by node.
-  std::map<const node_process *, pid_t> ToldToEnd;
+  /// Processes that received SIGTERM, by node.
+  std::map<const node_process *, pid_t> Terminating;
   int Version = 1;
 };
 
--- a/Tests/Soak/verdict.h
+++ b/Tests/Soak/verdict.h
@@ -1,4 +1,5 @@
-/// What a run showed of the promises. Pure.
+/// Checks the guarantees against the observations of a run. Has no side
+/// effects.
 #pragma once
 
 #include "soak_caller.h"
@@ -10,11 +11,12 @@
 
 namespace amaranthhoist {
 
-/// How often each request was run, by its id.
+/// Number of executions by request id.
 using run_counts = std::map<std::string, int>;
 
-/// The broken promises of callers and servers, a sentence each.
-std::vector<std::string> checkAttempts(std::span<const attempt_seen> Attempts,
-                                       const run_counts &Runs);
+/// Returns the violated guarantees, one sentence each.
+std::vector<std::string>
+checkAttempts(std::span<const observed_attempt> Attempts,
+              const run_counts &Runs);
 
 } // namespace amaranthhoist
--- a/Tests/main.cpp
+++ b/Tests/main.cpp
@@ -4,8 +4,8 @@
 #include <CppUTest/MemoryLeakWarningPlugin.h>
 
 int main(int ArgumentCount, char **Arguments) {
-  // Libraries keep statics of their own, which it takes for leaks; the
-  // sanitizer build looks for real ones.
+  // The detector reports static objects of the libraries as leaks. The
+  // sanitizer build detects real leaks.
   MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
   return CommandLineTestRunner::RunAllTests(ArgumentCount, Arguments);
 }
