--- a/Libraries/Gateway/completion.cpp
+++ b/Libraries/Gateway/completion.cpp
@@ -95,8 +95,8 @@
     markTargetDraining(Node, Name, true, Actions);
   const bool Healthy = Event.End == target_end::Completed;
   if (Event.End != target_end::Stopped)
-    noteTargetResult(Found->second, Node.Settings.Targets, Healthy, Event.Took,
-                     Now);
+    noteTargetResult(Found->second, Node.Settings.Targets, Healthy,
+                     Event.Elapsed, Now);
   if (Event.End == target_end::NotReached)
     noteNotReached(Found->second, Node.Settings.Targets);
 }
--- a/Libraries/Gateway/gateway.cpp
+++ b/Libraries/Gateway/gateway.cpp
@@ -131,8 +131,8 @@
     observeDeath(Node.Budget, Event.Id, Moment.Now);
   }
   void operator()(const drain_changed &Event) const {
-    Node.Draining = Event.Draining || Event.Leaving;
-    Node.Leaving = Event.Leaving;
+    Node.Draining = Event.Draining || Event.ShuttingDown;
+    Node.ShuttingDown = Event.ShuttingDown;
   }
   void operator()(const clock_tick &) const {
     gateway::handleTick(Node, Moment, Actions);
@@ -191,7 +191,7 @@
 }
 
 bool hasLeft(const gateway_node &Node) {
-  return Node.Leaving && Node.Work.empty() && Node.Lingering.empty() &&
+  return Node.ShuttingDown && Node.Work.empty() && Node.Lingering.empty() &&
          !Node.Budget.Record.Shares.contains(Node.Settings.Id);
 }
 
--- a/Libraries/Gateway/gateway.h
+++ b/Libraries/Gateway/gateway.h
@@ -141,7 +141,7 @@
 struct target_ended {
   std::uint64_t Token = 0;
   target_end End = target_end::Broken;
-  duration Took{};
+  duration Elapsed{};
   /// Whether a part of the answer has reached the caller already.
   bool Streamed = false;
   /// The backend server reported that it is draining.
@@ -217,7 +217,7 @@
 struct drain_changed {
   bool Draining = false;
   /// The process is shutting down: once its work has ended, its row is removed.
-  bool Leaving = false;
+  bool ShuttingDown = false;
 };
 
 struct clock_tick {};
@@ -309,7 +309,7 @@
   /// in progress.
   std::map<std::string, instant> StalledSince;
   bool Draining = false;
-  bool Leaving = false;
+  bool ShuttingDown = false;
 };
 
 /// Creates a node with its settings only; it accepts work once it has received
--- a/Libraries/Gateway/peers.cpp
+++ b/Libraries/Gateway/peers.cpp
@@ -153,7 +153,7 @@
     return;
   const bool Idle = Node.Work.empty() && Node.Lingering.empty();
   std::optional<pool_record> Next;
-  if (!Node.Leaving)
+  if (!Node.ShuttingDown)
     Next = planUpdate(Node.Budget, Node.Settings.Budget, Moment.Now);
   else if (Idle)
     Next = planLeave(Node.Budget, Node.Settings.Budget, Moment.Now);
--- a/Libraries/HttpConnection/client_connection.h
+++ b/Libraries/HttpConnection/client_connection.h
@@ -19,9 +19,9 @@
   bool NotConnected = false;
   /// The connection had carried other calls before. A server may close such a
   /// keep-alive connection at the moment when a call is sent.
-  bool WasKept = false;
+  bool WasReused = false;
   /// Bytes of a response had been received.
-  bool HadAnswer = false;
+  bool HadResponseBytes = false;
   /// The received bytes were not a valid HTTP response.
   bool Garbled = false;
 };
--- a/Libraries/PeerMessages/peer_messages.cpp
+++ b/Libraries/PeerMessages/peer_messages.cpp
@@ -38,7 +38,7 @@
     Crashes[Index].setContent(Report.Content);
     Crashes[Index].setGeneration(Report.Generation);
     Crashes[Index].setAgeUs(Report.Age.count());
-    Crashes[Index].setIsForAll(Report.IsForAll);
+    Crashes[Index].setIsForAll(Report.IsBroadcast);
     auto Servers = Crashes[Index].initServers(
         static_cast<unsigned>(Report.Servers.size()));
     for (unsigned Position = 0; Position < Servers.size(); ++Position)
--- a/Libraries/Placement/region_spillover.cpp
+++ b/Libraries/Placement/region_spillover.cpp
@@ -17,16 +17,16 @@
   if (Slots <= 0)
     return;
   const double Reported = static_cast<double>(Requests) / Slots;
-  Spread.Occupation += (Reported - Spread.Occupation) * ReportWeight;
+  Spread.Utilization += (Reported - Spread.Utilization) * ReportWeight;
 }
 
 void updateSpillover(region_spillover &Spread, instant Now) {
   if (Now < Spread.NextStep)
     return;
   const double Before = Spread.Share;
-  if (Spread.Occupation > BusyUtilization)
+  if (Spread.Utilization > BusyUtilization)
     Spread.Share = std::min(MaxSpillover, Spread.Share + SpilloverStep);
-  else if (Spread.Occupation < LowUtilization)
+  else if (Spread.Utilization < LowUtilization)
     Spread.Share = std::max(0.0, Spread.Share - SpilloverStep);
   if (Spread.Share != Before)
     Spread.NextStep = Now + SpilloverStepPeriod;
--- a/Libraries/Placement/region_spillover.h
+++ b/Libraries/Placement/region_spillover.h
@@ -20,7 +20,7 @@
 struct region_spillover {
   /// Requests at a server of the region per slot, a moving average of recent
   /// reports; above 1, requests wait.
-  double Occupation = 0;
+  double Utilization = 0;
   /// Share of the work that is distributed over all regions alike.
   double Share = 0;
   /// Earliest time of the next step.
--- a/Libraries/Quarantine/quarantine.cpp
+++ b/Libraries/Quarantine/quarantine.cpp
@@ -32,7 +32,7 @@
 
 static bool isQuarantined(const quarantine_policy &Policy,
                           const crash_record &Record) {
-  return Record.Servers.size() >= Policy.CrashesAllowed;
+  return Record.Servers.size() >= Policy.CrashThreshold;
 }
 
 bool isQuarantined(const quarantine &Quarantine, std::uint64_t Content) {
@@ -45,7 +45,7 @@
 static duration delayToTrial(const quarantine_policy &Policy,
                              std::size_t Crashes) {
   duration Delay = Policy.FirstTrialDelay;
-  for (std::size_t Trial = Policy.CrashesAllowed; Trial < Crashes; ++Trial)
+  for (std::size_t Trial = Policy.CrashThreshold; Trial < Crashes; ++Trial)
     Delay = std::min(Delay * Policy.TrialDelayFactor, Policy.MaxTrialDelay);
   return Delay;
 }
@@ -86,7 +86,7 @@
   if (Found != Quarantine.Records.end())
     return &Found->second;
   if (!makeRoom(Quarantine, NewCrashes)) {
-    ++Quarantine.LeftOut;
+    ++Quarantine.DroppedCrashes;
     return nullptr;
   }
   return &Quarantine.Records[Content];
@@ -109,9 +109,9 @@
 /// Schedules a changed record for sending to the instances that need it.
 static void scheduleSends(const quarantine_policy &Policy,
                           crash_record &Record) {
-  Record.IsForAll = Record.IsForAll || isQuarantined(Policy, Record);
+  Record.IsBroadcast = Record.IsBroadcast || isQuarantined(Policy, Record);
   Record.PendingSends =
-      Record.IsForAll ? Policy.AnnouncementMessages : Policy.SuspicionSends;
+      Record.IsBroadcast ? Policy.AnnouncementMessages : Policy.SuspicionSends;
 }
 
 static void voidCrashes(crash_record &Record, instant Now) {
@@ -142,9 +142,10 @@
   return quarantine_change{Content, Is, Record.Servers.size()};
 }
 
-std::optional<quarantine_change> noteCrash(quarantine &Quarantine,
-                                           std::uint64_t Content,
-                                           std::uint64_t Server, instant Now) {
+std::optional<quarantine_change> recordCrash(quarantine &Quarantine,
+                                             std::uint64_t Content,
+                                             std::uint64_t Server,
+                                             instant Now) {
   if (hasValidResponse(Quarantine, Content, Now))
     return std::nullopt;
   crash_record *Record = findOrCreateRecord(Quarantine, Content, 1);
@@ -157,8 +158,9 @@
   return changeOf(Quarantine, Content, Was);
 }
 
-std::optional<quarantine_change>
-noteSoundAnswer(quarantine &Quarantine, std::uint64_t Content, instant Now) {
+std::optional<quarantine_change> recordValidResponse(quarantine &Quarantine,
+                                                     std::uint64_t Content,
+                                                     instant Now) {
   validResponseSlot(Quarantine, Content) = {Content, Now};
   auto Found = Quarantine.Records.find(Content);
   if (Found == Quarantine.Records.end() || Found->second.Servers.empty())
@@ -201,7 +203,7 @@
                   nextTrial(Quarantine.Policy, Found->second) - Now);
 }
 
-void forgetOldRecords(quarantine &Quarantine, instant Now) {
+void evictExpiredRecords(quarantine &Quarantine, instant Now) {
   std::erase_if(Quarantine.Records, [&](const auto &Entry) {
     const crash_record &Record = Entry.second;
     return Now - Record.ChangedAt >=
@@ -221,7 +223,7 @@
 static crash_report makeReport(const record_entry &Entry, instant Now) {
   const crash_record &Record = Entry->second;
   return {Entry->first, Record.Generation, Record.Servers,
-          Now - Record.ChangedAt, Record.IsForAll};
+          Now - Record.ChangedAt, Record.IsBroadcast};
 }
 
 /// Acquires up to \p Wanted sends from the rate limit of the current second.
@@ -240,7 +242,7 @@
   std::vector<record_entry> Pending;
   for (auto Entry = Quarantine.Records.begin();
        Entry != Quarantine.Records.end(); ++Entry)
-    if (Entry->second.PendingSends > 0 && Entry->second.IsForAll == IsForAll)
+    if (Entry->second.PendingSends > 0 && Entry->second.IsBroadcast == IsForAll)
       Pending.push_back(Entry);
   return Pending;
 }
@@ -269,7 +271,8 @@
   return Reports;
 }
 
-std::vector<crash_report> reportNews(quarantine &Quarantine, instant Now) {
+std::vector<crash_report> collectAnnouncements(quarantine &Quarantine,
+                                               instant Now) {
   auto Pending = findPending(Quarantine, /*IsForAll=*/true);
   const quarantine_policy &Policy = Quarantine.Policy;
   if (Pending.empty() ||
@@ -280,8 +283,8 @@
                            Now);
 }
 
-std::vector<crash_report> reportSuspicions(quarantine &Quarantine,
-                                           instant Now) {
+std::vector<crash_report> collectSuspicions(quarantine &Quarantine,
+                                            instant Now) {
   auto Pending = findPending(Quarantine, /*IsForAll=*/false);
   const std::size_t Count =
       acquireSends(Quarantine.SuspicionRate,
@@ -289,7 +292,8 @@
   return makeUrgentReports(std::move(Pending), Count, Now);
 }
 
-std::vector<crash_report> reportInTurn(quarantine &Quarantine, instant Now) {
+std::vector<crash_report> collectPiggybackedReports(quarantine &Quarantine,
+                                                    instant Now) {
   std::vector<crash_report> Reports;
   auto Entry = Quarantine.Records.lower_bound(Quarantine.PiggybackCursor);
   for (std::size_t Left = Quarantine.Records.size();
@@ -297,7 +301,7 @@
        --Left) {
     if (Entry == Quarantine.Records.end())
       Entry = Quarantine.Records.begin();
-    if (Entry->second.IsForAll)
+    if (Entry->second.IsBroadcast)
       Reports.push_back(makeReport(Entry, Now));
     ++Entry;
   }
@@ -343,7 +347,7 @@
     return std::nullopt;
   const bool Was = isQuarantined(Quarantine.Policy, *Record);
   bool HasChanged = merge(*Record, Report, Now - Report.Age);
-  Record->IsForAll = Record->IsForAll || Report.IsForAll;
+  Record->IsBroadcast = Record->IsBroadcast || Report.IsBroadcast;
   if (!Record->Servers.empty() &&
       hasValidResponse(Quarantine, Report.Content, Record->ChangedAt)) {
     voidCrashes(*Record, Now);
@@ -355,8 +359,8 @@
 }
 
 std::vector<quarantine_change>
-takeReports(quarantine &Quarantine, std::span<const crash_report> Reports,
-            instant Now) {
+applyReports(quarantine &Quarantine, std::span<const crash_report> Reports,
+             instant Now) {
   std::vector<quarantine_change> Changes;
   for (const crash_report &Report : Reports)
     if (const auto Change = applyReport(Quarantine, Report, Now))
--- a/Libraries/Quarantine/quarantine.h
+++ b/Libraries/Quarantine/quarantine.h
@@ -50,7 +50,7 @@
 
 struct quarantine_policy {
   /// A content is refused once this many servers have crashed while running it.
-  std::size_t CrashesAllowed = 3;
+  std::size_t CrashThreshold = 3;
   /// A valid response voids crashes that occur less than this after it.
   duration ValidResponseWindow = std::chrono::seconds(10);
   /// Delay from the last crash to the first trial, multiplied by the factor for
@@ -78,7 +78,7 @@
 
 /// Number of instances that count the crashes of a content: the second
 /// continues if the first is lost.
-inline constexpr std::size_t CountingInstances = 2;
+inline constexpr std::size_t SuspicionOwners = 2;
 
 /// Maximum number of servers in a record: those that caused the quarantine, and
 /// trials.
@@ -95,7 +95,7 @@
   /// Time of the last crash, or of the response that voided the crashes.
   instant ChangedAt{};
   /// The content is quarantined, or was when its crashes were voided.
-  bool IsForAll = false;
+  bool IsBroadcast = false;
   /// Time of the last trial by this instance.
   instant TriedAt{};
   /// Number of messages that still have to carry this record.
@@ -110,7 +110,7 @@
   /// Time since the record's last change.
   duration Age{};
   /// Addressed to all instances, not only to those that count the content.
-  bool IsForAll = false;
+  bool IsBroadcast = false;
 };
 
 /// Rate limit for sending reports.
@@ -133,7 +133,7 @@
   /// hash; a later entry replaces an earlier one in the same slot.
   std::array<valid_response, 1'024> ValidResponses{};
   /// Crashes that were not recorded because the records were full.
-  std::uint64_t LeftOut = 0;
+  std::uint64_t DroppedCrashes = 0;
   /// Content at which the next piggybacked message continues in the records.
   std::uint64_t PiggybackCursor = 0;
   send_rate AnnouncementRate;
@@ -152,13 +152,13 @@
 
 /// Records the crash of a server while a request with that content was in
 /// flight there.
-std::optional<quarantine_change> noteCrash(quarantine &Quarantine,
-                                           std::uint64_t Content,
-                                           std::uint64_t Server, instant Now);
+std::optional<quarantine_change> recordCrash(quarantine &Quarantine,
+                                             std::uint64_t Content,
+                                             std::uint64_t Server, instant Now);
 
 /// Records that a server ran a request with that content to a valid response.
 std::optional<quarantine_change>
-noteSoundAnswer(quarantine &Quarantine, std::uint64_t Content, instant Now);
+recordValidResponse(quarantine &Quarantine, std::uint64_t Content, instant Now);
 
 bool isQuarantined(const quarantine &Quarantine, std::uint64_t Content);
 
@@ -177,27 +177,30 @@
                         instant Now);
 
 /// Evicts expired records.
-void forgetOldRecords(quarantine &Quarantine, instant Now);
+void evictExpiredRecords(quarantine &Quarantine, instant Now);
 
 /// Number of contents under quarantine.
 std::size_t countQuarantined(const quarantine &Quarantine);
 
 /// Reports for a dedicated message to any other instance, because a quarantine
 /// began or ended; empty if none is due.
-std::vector<crash_report> reportNews(quarantine &Quarantine, instant Now);
+std::vector<crash_report> collectAnnouncements(quarantine &Quarantine,
+                                               instant Now);
 
 /// Reports of changed suspicions, each for the instances that count its
 /// content.
-std::vector<crash_report> reportSuspicions(quarantine &Quarantine, instant Now);
+std::vector<crash_report> collectSuspicions(quarantine &Quarantine,
+                                            instant Now);
 
 /// Reports to piggyback on a message that is sent anyway: all quarantines in
 /// round-robin order (anti-entropy), so that instances that missed
 /// announcements or have just started receive them.
-std::vector<crash_report> reportInTurn(quarantine &Quarantine, instant Now);
+std::vector<crash_report> collectPiggybackedReports(quarantine &Quarantine,
+                                                    instant Now);
 
 /// Applies the reports of another instance.
 std::vector<quarantine_change>
-takeReports(quarantine &Quarantine, std::span<const crash_report> Reports,
-            instant Now);
+applyReports(quarantine &Quarantine, std::span<const crash_report> Reports,
+             instant Now);
 
 } // namespace amaranthhoist
--- a/Libraries/Steering/steering.cpp
+++ b/Libraries/Steering/steering.cpp
@@ -73,15 +73,15 @@
     return "no_target";
   case refusal::BackingOff:
     return "resting";
-  case refusal::NoRoom:
+  case refusal::Overloaded:
     return "no_room";
   case refusal::TooLate:
     return "too_late";
-  case refusal::NoRepeats:
+  case refusal::RetryBudgetExhausted:
     return "no_repeats";
   case refusal::Quarantined:
     return "quarantined";
-  case refusal::Leaving:
+  case refusal::ShuttingDown:
     return "leaving";
   }
   return "unknown";
@@ -107,8 +107,8 @@
   return Longest;
 }
 
-work_class classOf(const steering &Steering, std::string_view Host,
-                   std::string_view Path) {
+work_class findWorkClass(const steering &Steering, std::string_view Host,
+                         std::string_view Path) {
   if (!Steering.Routes)
     return work_class::NonIdempotent;
   const std::size_t Index = findRoute(*Steering.Routes, Host, Path);
@@ -152,7 +152,7 @@
   Plan.Deadline =
       Facts.Arrived +
       std::min(Route.Timeout, Facts.TimeLeft.value_or(Route.Timeout));
-  countRequest(Steering.Repeats, Plan.Service, Facts.Arrived);
+  countRequest(Steering.RetryBudget, Plan.Service, Facts.Arrived);
   return Plan;
 }
 
@@ -201,7 +201,7 @@
                                          std::span<target *const> Targets) {
   std::vector<double> Slots(Directory.Regions.size() + 1, 0.0);
   for (const target *Target : Targets)
-    if (!Target->Entry.IsLeaving)
+    if (!Target->Entry.IsDraining)
       Slots[Target->RegionIndex] += Target->Entry.Slots;
   Slots.pop_back();
   return Slots;
@@ -215,20 +215,20 @@
   if (!Weights.Primary.empty() && Now - Weights.UpdatedAt < WeightsUpdatePeriod)
     return Weights;
   Weights.UpdatedAt = Now;
-  updateSpillover(Weights.Spread, Now);
+  updateSpillover(Weights.Spillover, Now);
   const std::vector<double> Slots = slotsByRegion(Steering.Targets, Targets);
   const double Lacking = 1 - ownCoverage(Slots, Steering.OwnRegion);
   const double Spread = std::max(
-      {MinSpillover, SpilloverWithoutSlots * Lacking, Weights.Spread.Share});
+      {MinSpillover, SpilloverWithoutSlots * Lacking, Weights.Spillover.Share});
   Weights.Primary = regionWeights(Slots, Steering.OwnRegion, 1 - Spread);
-  Weights.Secondary = regionWeights(Slots, Steering.OwnRegion,
-                                    1 - OverflowSpread - Weights.Spread.Share);
+  Weights.Secondary = regionWeights(
+      Slots, Steering.OwnRegion, 1 - OverflowSpread - Weights.Spillover.Share);
   return Weights;
 }
 
 static bool wasTried(const request_plan &Plan, const target &Target) {
-  return std::find(Plan.Tried.begin(), Plan.Tried.end(), Target.Entry.Id) !=
-         Plan.Tried.end();
+  return std::find(Plan.TriedTargets.begin(), Plan.TriedTargets.end(),
+                   Target.Entry.Id) != Plan.TriedTargets.end();
 }
 
 static duration scaleDuration(duration Time, double Share) {
@@ -248,21 +248,21 @@
   return nullptr;
 }
 
-static void addCandidate(weighed_places &List, target &Target,
+static void addCandidate(candidate_list &List, target &Target,
                          duration Objective, double QueueAllowance,
                          instant Now) {
-  weighed_place &Candidate = List.Places[List.Count];
-  Candidate.LongestWait = scaleDuration(Objective, MaxWaits[List.Count]);
+  candidate &Candidate = List.Candidates[List.Count];
+  Candidate.MaxWait = scaleDuration(Objective, MaxWaits[List.Count]);
   ++List.Count;
   Candidate.Target = &Target;
   Candidate.Load = estimatedLoad(Target, Now);
   Candidate.Wait = predictedWait(Target, Candidate.Load, QueueAllowance);
-  Candidate.HasCapacity = Candidate.Wait <= Candidate.LongestWait;
+  Candidate.HasCapacity = Candidate.Wait <= Candidate.MaxWait;
 }
 
-weighed_places weighPlaces(steering &Steering, const request_plan &Plan,
-                           instant Now) {
-  weighed_places List;
+candidate_list findCandidates(steering &Steering, const request_plan &Plan,
+                              instant Now) {
+  candidate_list List;
   auto Found = Steering.Targets.ByService.find(Plan.Service);
   if (Found == Steering.Targets.ByService.end())
     return List;
@@ -287,10 +287,10 @@
 }
 
 /// Selects the candidate to use, or nullptr if none has capacity.
-static const weighed_place *selectCandidate(const weighed_places &List,
-                                            duration Objective) {
-  const weighed_place &First = List.Places[0];
-  const weighed_place &Second = List.Places[1];
+static const candidate *selectCandidate(const candidate_list &List,
+                                        duration Objective) {
+  const candidate &First = List.Candidates[0];
+  const candidate &Second = List.Candidates[1];
   const bool SecondHasCapacity = List.Count > 1 && Second.HasCapacity;
   const duration SecondCost =
       Second.Wait + scaleDuration(Objective, SecondaryCost);
@@ -310,7 +310,7 @@
     return std::nullopt;
   std::optional<instant> First;
   for (const target *Target : Found->second) {
-    const instant End = Target->RestUntil;
+    const instant End = Target->BackoffUntil;
     const bool Waits = Now < End && isUsable(Steering.Targets, *Target, End) &&
                        isHomeRegion(Plan.HomeRegions, Target->Region);
     if (Waits && (!First || End < *First))
@@ -335,22 +335,22 @@
     return tl::unexpected(refusal::Quarantined);
   if (Plan.Deadline - Now < MinTimeLeft)
     return tl::unexpected(refusal::TooLate);
-  const weighed_places List = weighPlaces(Steering, Plan, Now);
+  const candidate_list List = findCandidates(Steering, Plan, Now);
   if (!List.HasUsableTargets)
     return tl::unexpected(earliestBackoffEnd(Steering, Plan, Now)
                               ? refusal::BackingOff
                               : refusal::NoTarget);
-  const weighed_place *Candidate = selectCandidate(List, Plan.Objective);
+  const candidate *Candidate = selectCandidate(List, Plan.Objective);
   if (!Candidate)
-    return tl::unexpected(refusal::NoRoom);
+    return tl::unexpected(refusal::Overloaded);
   return Candidate->Target;
 }
 
-void noteServerLoad(steering &Steering, target &Target, const target_load &Load,
-                    instant Now) {
+void recordServerLoad(steering &Steering, target &Target,
+                      const target_load &Load, instant Now) {
   recordLoadReport(Target, Load, Now);
   if (Target.RegionIndex == Steering.OwnRegion)
-    recordUtilization(Steering.Weights[Target.Entry.Service].Spread,
+    recordUtilization(Steering.Weights[Target.Entry.Service].Spillover,
                       Load.Running + Load.Waiting, Load.Slots);
 }
 
@@ -364,23 +364,24 @@
     recordColdRequest(Target, localColdRate(Steering, Target), Now);
 }
 
-bool mayRepeat(steering &Steering, const request_plan &Plan, instant Now) {
+bool mayRetry(steering &Steering, const request_plan &Plan, instant Now) {
   if (Plan.MayHaveRun && Plan.Class == work_class::NonIdempotent)
     return false;
-  if (Plan.Arrivals >= Plan.MaxAttempts)
+  if (Plan.DeliveredAttempts >= Plan.MaxAttempts)
     return false;
   if (Plan.Deadline - Now < MinTimeLeft)
     return false;
   // An attempt that never reached a server does not count as a retry there.
-  return Plan.Arrivals == 0 || tryAcquireRetry(Steering.Repeats, Plan.Service,
-                                               Steering.Instances.size(), Now);
+  return Plan.DeliveredAttempts == 0 ||
+         tryAcquireRetry(Steering.RetryBudget, Plan.Service,
+                         Steering.Instances.size(), Now);
 }
 
-attempt_result resultOf(const broken_attempt &Attempt) {
+attempt_result classifyBrokenAttempt(const broken_attempt &Attempt) {
   if (Attempt.NotConnected)
     return attempt_result::Unreachable;
-  const bool IsIdleClose =
-      Attempt.WasKept && !Attempt.HadAnswer && Attempt.Took < MaxIdleCloseDelay;
+  const bool IsIdleClose = Attempt.WasReused && !Attempt.HadResponseBytes &&
+                           Attempt.Elapsed < MaxIdleCloseDelay;
   return IsIdleClose ? attempt_result::Cancelled : attempt_result::Failed;
 }
 
@@ -402,7 +403,7 @@
 duration retryAfter(const steering &Steering, const request_plan &Plan,
                     refusal Reason, std::string_view RequestId, instant Now) {
   switch (Reason) {
-  case refusal::Leaving:
+  case refusal::ShuttingDown:
     // Other instances can serve the request at once.
     return duration::zero();
   case refusal::Quarantined:
--- a/Libraries/Steering/steering.h
+++ b/Libraries/Steering/steering.h
@@ -25,7 +25,7 @@
 /// Weights of the regions for one service, with the state they are derived
 /// from.
 struct service_weights {
-  region_spillover Spread;
+  region_spillover Spillover;
   /// For the primary candidate of an object.
   std::vector<double> Primary;
   /// For the secondary candidate, which takes what the primary has no capacity
@@ -39,7 +39,7 @@
   /// Empty until the first configuration arrives.
   std::optional<route_table> Routes;
   target_directory Targets;
-  windowed_retry_budget Repeats;
+  windowed_retry_budget RetryBudget;
   /// Request contents that crash the servers which run them.
   quarantine Quarantine;
   /// Hashes of all instances; this instance's hash is the first.
@@ -75,12 +75,12 @@
   /// Number of servers that the request was sent to.
   int Attempts = 0;
   /// Number of attempts that reached a server, or may have.
-  int Arrivals = 0;
+  int DeliveredAttempts = 0;
   /// Whether a server may have executed the request.
   bool MayHaveRun = false;
   /// Servers that gave no response to this request; they are excluded from
   /// further attempts.
-  std::vector<std::string> Tried;
+  std::vector<std::string> TriedTargets;
 };
 
 /// Why a request was refused.
@@ -93,15 +93,15 @@
   /// All servers that are otherwise usable requested backoff (Retry-After).
   BackingOff,
   /// The candidate servers have no capacity.
-  NoRoom,
+  Overloaded,
   /// Too little time is left before the deadline to run the request.
   TooLate,
   /// The retry budget is exhausted.
-  NoRepeats,
+  RetryBudgetExhausted,
   /// The content is quarantined because servers crash while running it.
   Quarantined,
   /// This instance is shutting down and could not complete the request in time.
-  Leaving,
+  ShuttingDown,
 };
 
 /// The name of a refusal in logs and metrics.
@@ -127,8 +127,8 @@
 
 /// The work class of a request with this host and path; non-idempotent if no
 /// route matches.
-work_class classOf(const steering &Steering, std::string_view Host,
-                   std::string_view Path);
+work_class findWorkClass(const steering &Steering, std::string_view Host,
+                         std::string_view Path);
 
 /// Finds the route of a request and creates its plan.
 tl::expected<request_plan, refusal> planRequest(steering &Steering,
@@ -142,41 +142,41 @@
 
 /// A server that a request may be sent to, with the values that decide whether
 /// it has capacity.
-struct weighed_place {
+struct candidate {
   target *Target = nullptr;
   /// Estimated number of requests in flight at the server, from all instances.
   double Load = 0;
   /// Predicted wait for a slot, and the longest wait that counts as having
   /// capacity.
   duration Wait{};
-  duration LongestWait{};
+  duration MaxWait{};
   bool HasCapacity = false;
 };
 
 /// The candidates of one request, in order of preference.
-struct weighed_places {
-  std::array<weighed_place, CandidatesPerObject> Places{};
+struct candidate_list {
+  std::array<candidate, CandidatesPerObject> Candidates{};
   std::size_t Count = 0;
   /// Whether any server of the service is usable at all.
   bool HasUsableTargets = false;
 
-  [[nodiscard]] std::span<const weighed_place> places() const {
-    return {Places.data(), Count};
+  [[nodiscard]] std::span<const candidate> candidates() const {
+    return {Candidates.data(), Count};
   }
 };
 
 /// Evaluates the candidates of a request. The same state and time give the same
 /// result, so that a refusal can be explained after the decision.
-weighed_places weighPlaces(steering &Steering, const request_plan &Plan,
-                           instant Now);
+candidate_list findCandidates(steering &Steering, const request_plan &Plan,
+                              instant Now);
 
 /// Selects the server for the next attempt. Does not count the attempt.
 tl::expected<target *, refusal>
 chooseTarget(steering &Steering, const request_plan &Plan, instant Now);
 
 /// Records a load report from \p Target.
-void noteServerLoad(steering &Steering, target &Target, const target_load &Load,
-                    instant Now);
+void recordServerLoad(steering &Steering, target &Target,
+                      const target_load &Load, instant Now);
 
 /// Records the start of an attempt at \p Target.
 void beginAttempt(steering &Steering, request_plan &Plan, target &Target,
@@ -186,24 +186,24 @@
 /// token from the retry budget if the attempt needs one. Non-idempotent work is
 /// never sent again once a byte of it may have reached a server, unless that
 /// server itself states that it did not run the request.
-bool mayRepeat(steering &Steering, const request_plan &Plan, instant Now);
+bool mayRetry(steering &Steering, const request_plan &Plan, instant Now);
 
 /// An attempt whose connection ended without a complete response.
 struct broken_attempt {
   /// The connection was never established.
   bool NotConnected = false;
   /// The connection had served other requests before.
-  bool WasKept = false;
+  bool WasReused = false;
   /// Response bytes were received, valid or not.
-  bool HadAnswer = false;
+  bool HadResponseBytes = false;
   /// Time from sending the request to the end of the connection.
-  duration Took{};
+  duration Elapsed{};
 };
 
 /// Classifies a broken attempt for the health of its server. Returns Cancelled,
 /// which does not affect health, if a reused connection ends at once: the
 /// server most likely closed it as idle.
-attempt_result resultOf(const broken_attempt &Attempt);
+attempt_result classifyBrokenAttempt(const broken_attempt &Attempt);
 
 /// The Retry-After time for a caller that was refused for \p Reason. In general
 /// it is jittered, so that callers refused together do not return together, and
--- a/Libraries/Targets/list_completeness.cpp
+++ b/Libraries/Targets/list_completeness.cpp
@@ -10,7 +10,7 @@
 /// view of the store: a few polling intervals.
 static constexpr duration PeerReportValidFor = std::chrono::milliseconds(1'200);
 
-void noteStoreTrouble(list_trust &Completeness, instant Now) {
+void recordStoreOutage(list_completeness &Completeness, instant Now) {
   if (Completeness.HasPeerReport &&
       Now - Completeness.LastPeerReport <= PeerReportValidFor)
     return;
@@ -18,8 +18,8 @@
   Completeness.HadOutage = true;
 }
 
-void notePeerTrust(list_trust &Completeness, bool PeerListIsComplete,
-                   instant Now) {
+void recordPeerView(list_completeness &Completeness, bool PeerListIsComplete,
+                    instant Now) {
   Completeness.LastPeerReport = Now;
   Completeness.HasPeerReport = true;
   Completeness.HadOutage = !PeerListIsComplete;
@@ -27,7 +27,7 @@
     Completeness.LastOutage = Now;
 }
 
-bool isListSure(const list_trust &Completeness, instant Now) {
+bool isListComplete(const list_completeness &Completeness, instant Now) {
   return !Completeness.HadOutage ||
          Now - Completeness.LastOutage > IncompleteAfterOutage;
 }
--- a/Libraries/Targets/list_completeness.h
+++ b/Libraries/Targets/list_completeness.h
@@ -9,7 +9,7 @@
 
 namespace amaranthhoist {
 
-struct list_trust {
+struct list_completeness {
   instant LastOutage{};
   bool HadOutage = false;
   /// Time of the last report from a peer that is connected to the store.
@@ -19,10 +19,10 @@
 
 /// Records that the store did not respond, or that it responds again after an
 /// outage.
-void noteStoreTrouble(list_trust &Completeness, instant Now);
+void recordStoreOutage(list_completeness &Completeness, instant Now);
 /// Records whether a peer with fresh state considers its list complete.
-void notePeerTrust(list_trust &Completeness, bool PeerListIsComplete,
-                   instant Now);
-bool isListSure(const list_trust &Completeness, instant Now);
+void recordPeerView(list_completeness &Completeness, bool PeerListIsComplete,
+                    instant Now);
+bool isListComplete(const list_completeness &Completeness, instant Now);
 
 } // namespace amaranthhoist
--- a/Libraries/Targets/targets.cpp
+++ b/Libraries/Targets/targets.cpp
@@ -42,9 +42,9 @@
 
 /// Retains what a server reported itself, in case its entry returns.
 static void retainState(target_directory &Directory, const target &Target) {
-  if (Target.RestUntil == instant() && !Target.Entry.IsLeaving)
+  if (Target.BackoffUntil == instant() && !Target.Entry.IsDraining)
     return;
-  Directory.RetainedStates.push_back({Target.Entry, Target.RestUntil});
+  Directory.RetainedStates.push_back({Target.Entry, Target.BackoffUntil});
   if (Directory.RetainedStates.size() > MaxRetainedStates)
     Directory.RetainedStates.pop_front();
 }
@@ -55,7 +55,7 @@
     return;
   retainState(Directory, *Found->second);
   removeFromService(Directory, Found->second.get());
-  Directory.Departed.push_back(std::move(Found->second));
+  Directory.Retired.push_back(std::move(Found->second));
   Directory.ById.erase(Found);
 }
 
@@ -100,12 +100,12 @@
       });
   if (Found == Directory.RetainedStates.rend())
     return;
-  Target.RestUntil = Found->BackoffUntil;
-  Target.Entry.IsLeaving = Found->Entry.IsLeaving;
+  Target.BackoffUntil = Found->BackoffUntil;
+  Target.Entry.IsDraining = Found->Entry.IsDraining;
 }
 
-void putTarget(target_directory &Directory, const target_entry &Entry,
-               instant Now) {
+void upsertTarget(target_directory &Directory, const target_entry &Entry,
+                  instant Now) {
   auto Found = Directory.ById.find(Entry.Id);
   if (Found != Directory.ById.end() &&
       !isSameIncarnation(Found->second->Entry, Entry)) {
@@ -125,9 +125,9 @@
   target &Target = *Found->second;
   // A server that reported that it is draining does not become usable again as
   // the same incarnation.
-  const bool WasLeaving = Target.Entry.IsLeaving;
+  const bool WasLeaving = Target.Entry.IsDraining;
   Target.Entry = Entry;
-  Target.Entry.IsLeaving = Entry.IsLeaving || WasLeaving;
+  Target.Entry.IsDraining = Entry.IsDraining || WasLeaving;
   Target.IsMissing = false;
   auto Region = Directory.RegionOfDomain.find(Entry.FailureDomain);
   if (Region != Directory.RegionOfDomain.end())
@@ -143,7 +143,7 @@
   if (Found == Directory.ById.end())
     return;
   target &Target = *Found->second;
-  if (ListIsComplete || Target.Entry.IsLeaving) {
+  if (ListIsComplete || Target.Entry.IsDraining) {
     retire(Directory, Id);
     return;
   }
@@ -169,8 +169,8 @@
     retire(Directory, Id);
 }
 
-void freeDeparted(target_directory &Directory) {
-  std::erase_if(Directory.Departed,
+void freeRetired(target_directory &Directory) {
+  std::erase_if(Directory.Retired,
                 [](const auto &Target) { return Target->InFlight == 0; });
 }
 
@@ -189,11 +189,11 @@
 
 bool isUsable(const target_directory &Directory, const target &Target,
               instant Now) {
-  if (Target.Entry.IsLeaving)
+  if (Target.Entry.IsDraining)
     return false;
   if (Directory.EvacuatedDomains.contains(Target.Entry.FailureDomain))
     return false;
-  if (Now < Target.RestUntil)
+  if (Now < Target.BackoffUntil)
     return false;
   if (Target.EjectionTime > duration::zero())
     return Now >= Target.EjectedUntil && !Target.IsHalfOpen;
@@ -295,23 +295,24 @@
     retainState(Directory, Target);
     return;
   }
-  Current->RestUntil = std::max(Current->RestUntil, Target.RestUntil);
-  Current->Entry.IsLeaving = Current->Entry.IsLeaving || Target.Entry.IsLeaving;
+  Current->BackoffUntil = std::max(Current->BackoffUntil, Target.BackoffUntil);
+  Current->Entry.IsDraining =
+      Current->Entry.IsDraining || Target.Entry.IsDraining;
 }
 
-void noteRest(target_directory &Directory, target &Target, instant Until) {
+void recordBackoff(target_directory &Directory, target &Target, instant Until) {
   // A response may arrive after a later one; the longest backoff wins.
-  Target.RestUntil = std::max(Target.RestUntil, Until);
+  Target.BackoffUntil = std::max(Target.BackoffUntil, Until);
   copyToCurrentRecord(Directory, Target);
 }
 
-void noteLeaving(target_directory &Directory, target &Target) {
-  Target.Entry.IsLeaving = true;
+void recordDraining(target_directory &Directory, target &Target) {
+  Target.Entry.IsDraining = true;
   copyToCurrentRecord(Directory, Target);
 }
 
-void noteResult(target_directory &Directory, target &Target,
-                attempt_result Result, duration Took, instant Now) {
+void recordResult(target_directory &Directory, target &Target,
+                  attempt_result Result, duration Took, instant Now) {
   --Target.InFlight;
   const bool WasTrial = Target.IsHalfOpen;
   Target.IsHalfOpen = false;
@@ -329,7 +330,7 @@
     return;
   case attempt_result::Shed:
     // The server stated itself when it accepts requests again.
-    if (Now < Target.RestUntil)
+    if (Now < Target.BackoffUntil)
       return;
     recordFailure(Directory, Target, WasTrial, Now);
     return;
@@ -338,7 +339,7 @@
     recordFailure(Directory, Target, WasTrial, Now);
     return;
   case attempt_result::Replaced:
-    noteLeaving(Directory, Target);
+    recordDraining(Directory, Target);
     return;
   case attempt_result::Cancelled:
     return;
--- a/Libraries/Targets/targets.h
+++ b/Libraries/Targets/targets.h
@@ -26,7 +26,7 @@
   std::string FailureDomain;
   /// Number of requests that it processes concurrently.
   int Slots = 1;
-  bool IsLeaving = false;
+  bool IsDraining = false;
   /// Remaining duration of the cold start.
   duration ColdFor{};
   /// Unix time of its start in milliseconds, which distinguishes incarnations
@@ -91,7 +91,7 @@
   bool IsHalfOpen = false;
   /// Receives no requests before this time: it requested backoff from this
   /// instance.
-  instant RestUntil{};
+  instant BackoffUntil{};
 
   instant ColdUntil{};
   /// Earliest time of the next request during its cold start.
@@ -120,7 +120,7 @@
   /// Failure domains whose servers receive no requests.
   text_set EvacuatedDomains;
   /// Removed from the list, kept until their last request completes.
-  std::vector<std::unique_ptr<target>> Departed;
+  std::vector<std::unique_ptr<target>> Retired;
   /// States of the most recently removed servers, oldest first.
   std::deque<retained_state> RetainedStates;
   std::uint64_t NextSerial = 1;
@@ -137,8 +137,8 @@
 /// Applies one entry of the list. A server that restarted under its id gets a
 /// new record: the state of the previous incarnation (load, failures, draining)
 /// would exclude a healthy server, or send full load to a cold one.
-void putTarget(target_directory &Directory, const target_entry &Entry,
-               instant Now);
+void upsertTarget(target_directory &Directory, const target_entry &Entry,
+                  instant Now);
 
 /// Removes a server. While the list is incomplete (\p ListIsComplete is false
 /// after a store outage), the server stays until removeMissing().
@@ -154,7 +154,7 @@
 
 /// Frees retired servers without requests in flight. A pointer to a server is
 /// valid while a request is counted there.
-void freeDeparted(target_directory &Directory);
+void freeRetired(target_directory &Directory);
 
 /// Stops or resumes sending to the servers of a failure domain. When resumed,
 /// the servers count as cold for \p ColdTime: they may have lost their caches
@@ -175,15 +175,15 @@
 void recordLoadReport(target &Target, const target_load &Load, instant Now);
 
 /// Records the result of an attempt that was counted by recordAttemptStart().
-void noteResult(target_directory &Directory, target &Target,
-                attempt_result Result, duration Took, instant Now);
+void recordResult(target_directory &Directory, target &Target,
+                  attempt_result Result, duration Took, instant Now);
 
 /// Excludes a server that requested backoff until \p Until. \p Target may have
 /// been retired since the request was sent.
-void noteRest(target_directory &Directory, target &Target, instant Until);
+void recordBackoff(target_directory &Directory, target &Target, instant Until);
 
 /// Excludes a server that reports that it is draining, before the list does. \p
 /// Target may have been retired since the request was sent.
-void noteLeaving(target_directory &Directory, target &Target);
+void recordDraining(target_directory &Directory, target &Target);
 
 } // namespace amaranthhoist
--- a/Services/Node/caller_connection.cpp
+++ b/Services/Node/caller_connection.cpp
@@ -240,8 +240,9 @@
 /// responses are sent.
 bool caller_connection::mayServeConcurrently(
     const caller_request &Request) const {
-  return Slots.empty() || classOf(Node.Steering, Request.Host,
-                                  Request.path()) == work_class::Idempotent;
+  return Slots.empty() ||
+         findWorkClass(Node.Steering, Request.Host, Request.path()) ==
+             work_class::Idempotent;
 }
 
 /// Called when a request is complete.
--- a/Services/Node/crash_probe.cpp
+++ b/Services/Node/crash_probe.cpp
@@ -76,13 +76,13 @@
 
 crash_probe::crash_probe(node &Node) : Node(Node) {
   Node.Loop.every(ExpiryPeriod, [&Node] {
-    forgetOldRecords(Node.Steering.Quarantine, Node.Loop.now());
+    evictExpiredRecords(Node.Steering.Quarantine, Node.Loop.now());
   });
   Node.Metrics.gauge("amaranthhoist_quarantined_contents", [&Node] {
     return static_cast<double>(countQuarantined(Node.Steering.Quarantine));
   });
   Node.Metrics.gauge("amaranthhoist_crash_records_left_out", [&Node] {
-    return static_cast<double>(Node.Steering.Quarantine.LeftOut);
+    return static_cast<double>(Node.Steering.Quarantine.DroppedCrashes);
   });
 }
 
@@ -124,8 +124,8 @@
   std::string Names;
   for (std::uint64_t Content : Attempt.contents()) {
     append(Names, Names.empty() ? "" : ",", contentName(Content));
-    logQuarantine(Node, noteCrash(Node.Steering.Quarantine, Content,
-                                  Attempt.startHash(), Node.Loop.now()));
+    logQuarantine(Node, recordCrash(Node.Steering.Quarantine, Content,
+                                    Attempt.startHash(), Node.Loop.now()));
   }
   Node.Log.write(log_kind::Belief, "server_crashed",
                  {{"server", Attempt.server()}, {"contents", Names}},
--- a/Services/Node/exchange.cpp
+++ b/Services/Node/exchange.cpp
@@ -30,13 +30,13 @@
   Node.Loop.cancel(ConnectTimer);
   Node.Loop.cancel(BootstrapTimer);
   if (Target)
-    noteResult(Node.Steering.Targets, *Target, attempt_result::Cancelled,
-               duration::zero(), Node.Loop.now());
+    recordResult(Node.Steering.Targets, *Target, attempt_result::Cancelled,
+                 duration::zero(), Node.Loop.now());
 }
 
 void exchange::start() {
   if (Node.refusesNewRequests()) {
-    refuse(refusal::Leaving);
+    refuse(refusal::ShuttingDown);
     return;
   }
   if (Node.isBootstrapping()) {
@@ -135,7 +135,8 @@
   if (!Target)
     return;
   const duration Elapsed = Node.Loop.now() - AttemptStartedAt;
-  noteResult(Node.Steering.Targets, *Target, Result, Elapsed, Node.Loop.now());
+  recordResult(Node.Steering.Targets, *Target, Result, Elapsed,
+               Node.Loop.now());
   Attempts.back().Elapsed = Elapsed;
   Attempts.back().Outcome = toString(Result);
   Target = nullptr;
@@ -177,13 +178,13 @@
   if (Head.status() == 421)
     return;
   const instant Now = Node.Loop.now();
-  if (Head.find(Node.Wire.Leaving) == "1" && !Target->Entry.IsLeaving) {
-    noteLeaving(Node.Steering.Targets, *Target);
+  if (Head.find(Node.Wire.Leaving) == "1" && !Target->Entry.IsDraining) {
+    recordDraining(Node.Steering.Targets, *Target);
     Node.Log.write(log_kind::Belief, "server_says_it_leaves",
                    {{"server", Target->Entry.Id}}, Now);
   }
   if (const auto Rest = requestedBackoff(Head)) {
-    noteRest(Node.Steering.Targets, *Target, Now + *Rest);
+    recordBackoff(Node.Steering.Targets, *Target, Now + *Rest);
     Node.Log.write(log_kind::Belief, "server_rests",
                    {{"server", Target->Entry.Id},
                     {"for_us", static_cast<std::int64_t>(Rest->count())},
@@ -201,14 +202,14 @@
   HasResponseHead = true;
   if (const auto Load = Head.find(Node.Wire.Load))
     if (const auto Decoded = Node.Wire.DecodeLoad(*Load))
-      noteServerLoad(Node.Steering, *Target, *Decoded, Node.Loop.now());
+      recordServerLoad(Node.Steering, *Target, *Decoded, Node.Loop.now());
   applyServerState(Head);
   ServerDidNotRun =
       Head.find(Node.Wire.NotRun).has_value() || Head.status() == 421;
   const bool ClaimsSuccess = Head.status() / 100 == 2;
   if (ClaimsSuccess && (!Id || !Head.find(Node.Wire.Signature).has_value())) {
     // The response was not made by the server and must not reach the caller.
-    onFailure({.HadAnswer = true, .Garbled = true});
+    onFailure({.HadResponseBytes = true, .Garbled = true});
     return true;
   }
   storeResponseHead(Head);
@@ -217,14 +218,14 @@
 
 void exchange::onComplete() {
   const bool WasReplaced = Status == 421;
-  ++Plan.Arrivals;
+  ++Plan.DeliveredAttempts;
   if (Connection->isReusable())
     Pool.release(*Target, std::move(Connection));
   else
     dropConnection();
   Node.Loop.cancel(ConnectTimer);
   if (ServerDidNotRun) {
-    Plan.Tried.push_back(Target->Entry.Id);
+    Plan.TriedTargets.push_back(Target->Entry.Id);
     finishAttempt(WasReplaced ? attempt_result::Replaced
                               : attempt_result::Shed);
     retryOrFinish();
@@ -233,16 +234,16 @@
   Plan.MayHaveRun = true;
   const bool ServerFailed = Status >= 500;
   if (!ServerFailed)
-    logQuarantine(Node, noteSoundAnswer(Node.Steering.Quarantine, Plan.Content,
-                                        Node.Loop.now()));
+    logQuarantine(Node, recordValidResponse(Node.Steering.Quarantine,
+                                            Plan.Content, Node.Loop.now()));
   const std::string Id = Target->Entry.Id;
   finishAttempt(ServerFailed && Status != 504 ? attempt_result::Failed
                                               : attempt_result::Answered);
   if (ServerFailed && Caller && !IsStreaming &&
       Plan.Class == work_class::Idempotent) {
-    Plan.Tried.push_back(Id);
+    Plan.TriedTargets.push_back(Id);
     if (chooseTarget(Node.Steering, Plan, Node.Loop.now()) &&
-        mayRepeat(Node.Steering, Plan, Node.Loop.now())) {
+        mayRetry(Node.Steering, Plan, Node.Loop.now())) {
       log(log_kind::Trouble, "repeat", "server_error", Status);
       BufferedBody.clear();
       attemptNext();
@@ -257,17 +258,18 @@
   if (!Target)
     return;
   const std::string Id = Target->Entry.Id;
-  const attempt_result Result = resultOf({Failure.NotConnected, Failure.WasKept,
-                                          Failure.HadAnswer || Failure.Garbled,
-                                          Node.Loop.now() - AttemptStartedAt});
+  const attempt_result Result =
+      classifyBrokenAttempt({Failure.NotConnected, Failure.WasReused,
+                             Failure.HadResponseBytes || Failure.Garbled,
+                             Node.Loop.now() - AttemptStartedAt});
   if (Result != attempt_result::Unreachable) {
-    ++Plan.Arrivals;
+    ++Plan.DeliveredAttempts;
     Plan.MayHaveRun = true;
     Pool.onConnectionBroken(*Target, Request.Content);
   }
   finishAttempt(Result);
   if (Result != attempt_result::Cancelled)
-    Plan.Tried.push_back(Id);
+    Plan.TriedTargets.push_back(Id);
   retryOrFinish();
 }
 
@@ -285,9 +287,9 @@
   BufferedBody.clear();
   const instant Now = Node.Loop.now();
   const bool TooManyUnreachable =
-      Plan.Attempts - Plan.Arrivals >= MaxUnreachableTargets;
+      Plan.Attempts - Plan.DeliveredAttempts >= MaxUnreachableTargets;
   auto Chosen = chooseTarget(Node.Steering, Plan, Now);
-  if (Chosen && !TooManyUnreachable && mayRepeat(Node.Steering, Plan, Now)) {
+  if (Chosen && !TooManyUnreachable && mayRetry(Node.Steering, Plan, Now)) {
     log(log_kind::Trouble, "repeat", "attempt_failed", 0);
     startAttempt(**Chosen);
     return;
@@ -296,7 +298,7 @@
     respondLocally(502, std::nullopt, "attempt_failed");
     return;
   }
-  refuse(Chosen ? refusal::NoRepeats : Chosen.error());
+  refuse(Chosen ? refusal::RetryBudgetExhausted : Chosen.error());
 }
 
 void exchange::onDeadline() {
--- a/Services/Node/exchange_log.cpp
+++ b/Services/Node/exchange_log.cpp
@@ -67,13 +67,13 @@
 }
 
 /// Age of the load report that a candidate was weighed by; -1 if there is none.
-static std::int64_t reportAge(const weighed_place &Place, instant Now) {
+static std::int64_t reportAge(const candidate &Place, instant Now) {
   if (!Place.Target || !Place.Target->HasReport)
     return -1;
   return inMicroseconds(Now - Place.Target->ReportedAt);
 }
 
-static std::string_view serverOf(const weighed_place &Place) {
+static std::string_view serverOf(const candidate &Place) {
   return Place.Target ? std::string_view(Place.Target->Entry.Id)
                       : std::string_view();
 }
@@ -83,20 +83,20 @@
   const instant Now = Node.Loop.now();
   if (!Node.Log.wouldWrite(log_kind::Trouble, Now))
     return;
-  const weighed_places Weighed =
-      HasPlan ? weighPlaces(Node.Steering, Plan, Now) : weighed_places();
-  const weighed_place &First = Weighed.Places[0];
-  const weighed_place &Second = Weighed.Places[1];
+  const candidate_list Weighed =
+      HasPlan ? findCandidates(Node.Steering, Plan, Now) : candidate_list();
+  const candidate &First = Weighed.Candidates[0];
+  const candidate &Second = Weighed.Candidates[1];
   const std::string AttemptsText = describeAttempts();
   log_fields Fields = summaryFields(Why, WithStatus, AttemptsText);
   Fields.insert(Fields.end(),
                 {{"retry_after_us", inMicroseconds(RetryAfter)},
-                 {"longest_wait_us", inMicroseconds(First.LongestWait)},
+                 {"longest_wait_us", inMicroseconds(First.MaxWait)},
                  {"place_1", serverOf(First)},
                  {"load_1", First.Load},
                  {"wait_1_us", inMicroseconds(First.Wait)},
                  {"report_age_1_us", reportAge(First, Now)},
-                 {"longest_wait_2_us", inMicroseconds(Second.LongestWait)},
+                 {"longest_wait_2_us", inMicroseconds(Second.MaxWait)},
                  {"place_2", serverOf(Second)},
                  {"load_2", Second.Load},
                  {"wait_2_us", inMicroseconds(Second.Wait)},
--- a/Services/Node/main.cpp
+++ b/Services/Node/main.cpp
@@ -178,9 +178,9 @@
     Node.Settings.Bounds = Settings->Bounds;
     Node.Settings.Store = Settings->Store;
     Node.Settings.MemoryMb = Settings->MemoryMb;
-    Node.Steering.Repeats.Bounds = {Settings->Bounds.RepeatRatio,
-                                    Settings->Bounds.RepeatWindow,
-                                    Settings->Bounds.RepeatSlack};
+    Node.Steering.RetryBudget.Bounds = {Settings->Bounds.RepeatRatio,
+                                        Settings->Bounds.RepeatWindow,
+                                        Settings->Bounds.RepeatSlack};
     setDomains(Node.Steering.Targets, Settings->FailureDomains);
     Node.Steering.OwnRegion =
         regionIndex(Node.Steering.Targets, Node.Settings.Region);
--- a/Services/Node/peer_link.cpp
+++ b/Services/Node/peer_link.cpp
@@ -38,7 +38,9 @@
 }
 
 void peer_link::send(const membership_message &Message, const endpoint &To) {
-  send(Message, reportInTurn(Node.Steering.Quarantine, Node.Loop.now()), To);
+  send(Message,
+       collectPiggybackedReports(Node.Steering.Quarantine, Node.Loop.now()),
+       To);
 }
 
 void peer_link::send(const membership_message &Message,
@@ -93,7 +95,7 @@
     return;
   // Crash reports are applied in every state: a node that shuts down or
   // bootstraps still sends requests.
-  for (const quarantine_change &Change : takeReports(
+  for (const quarantine_change &Change : applyReports(
            Node.Steering.Quarantine, Datagram->Crashes, Node.Loop.now()))
     logQuarantine(Node, Change);
   if (HasLeft)
@@ -130,12 +132,12 @@
 void peer_link::sendNewCrashReports() {
   const instant Now = Node.Loop.now();
   for (crash_report &Suspicion :
-       reportSuspicions(Node.Steering.Quarantine, Now))
+       collectSuspicions(Node.Steering.Quarantine, Now))
     for (const fleet_member *Counting :
-         rendezvousMembers(Node.Fleet, Suspicion.Content, CountingInstances))
+         rendezvousMembers(Node.Fleet, Suspicion.Content, SuspicionOwners))
       sendCrashes({Suspicion}, *Counting);
   for (int Receiver = 0; Receiver < ReceiversPerTick; ++Receiver) {
-    auto News = reportNews(Node.Steering.Quarantine, Now);
+    auto News = collectAnnouncements(Node.Steering.Quarantine, Now);
     const fleet_member *Member =
         News.empty() ? nullptr : pickUpMember(Node.Fleet);
     if (!Member)
--- a/Services/Node/replicated_state.cpp
+++ b/Services/Node/replicated_state.cpp
@@ -15,30 +15,30 @@
 void replicated_state::runMaintenance() {
   if (isTargetListComplete())
     removeMissing(Node.Steering.Targets);
-  freeDeparted(Node.Steering.Targets);
+  freeRetired(Node.Steering.Targets);
   logRegionSpillover();
 }
 
 void replicated_state::logRegionSpillover() {
   for (const auto &[Service, Weights] : Node.Steering.Weights) {
     double &LoggedShare = LoggedSpillover[Service];
-    if (LoggedShare == Weights.Spread.Share)
+    if (LoggedShare == Weights.Spillover.Share)
       continue;
-    LoggedShare = Weights.Spread.Share;
+    LoggedShare = Weights.Spillover.Share;
     Node.Log.write(log_kind::Belief, "region_spread",
                    {{"service", Service},
-                    {"share", Weights.Spread.Share},
-                    {"occupation", Weights.Spread.Occupation}},
+                    {"share", Weights.Spillover.Share},
+                    {"occupation", Weights.Spillover.Utilization}},
                    Node.Loop.now());
   }
 }
 
 void replicated_state::onStoreOutage() {
-  noteStoreTrouble(Trust, Node.Loop.now());
+  recordStoreOutage(Trust, Node.Loop.now());
 }
 
 void replicated_state::onPeerListState(bool ListIsSure) {
-  notePeerTrust(Trust, ListIsSure, Node.Loop.now());
+  recordPeerView(Trust, ListIsSure, Node.Loop.now());
 }
 
 duration replicated_state::configurationAge() const {
@@ -47,7 +47,7 @@
 }
 
 bool replicated_state::isTargetListComplete() const {
-  return isListSure(Trust, Node.Loop.now());
+  return isListComplete(Trust, Node.Loop.now());
 }
 
 bool replicated_state::hasFullState() const {
@@ -143,12 +143,12 @@
     logUnreadable(object_kind::Target, Change.Name, Entry.error().Message);
     return;
   }
-  putTarget(Node.Steering.Targets, *Entry, Now);
+  upsertTarget(Node.Steering.Targets, *Entry, Now);
   Node.Log.write(
       log_kind::Belief, "server_listed",
       {{"server", Entry->Id},
        {"service", Entry->Service},
-       {"leaving", Entry->IsLeaving},
+       {"leaving", Entry->IsDraining},
        {"cold_ms", static_cast<std::int64_t>(Entry->ColdFor.count() / 1'000)}},
       Now);
 }
--- a/Services/Node/replicated_state.h
+++ b/Services/Node/replicated_state.h
@@ -44,7 +44,7 @@
 
   node &Node;
   object_cache Cache;
-  list_trust Trust;
+  list_completeness Trust;
   instant ConfigurationAppliedAt{};
   /// Last logged share of the requests that spill over to all regions, by
   /// service.
--- a/Services/Node/status.cpp
+++ b/Services/Node/status.cpp
@@ -13,11 +13,11 @@
 
 static std::string stateOf(const target_directory &Directory,
                            const target &Target, instant Now) {
-  if (Target.Entry.IsLeaving)
+  if (Target.Entry.IsDraining)
     return "leaving";
   if (Directory.EvacuatedDomains.contains(Target.Entry.FailureDomain))
     return "evacuated";
-  if (Now < Target.RestUntil)
+  if (Now < Target.BackoffUntil)
     return "resting";
   if (Target.EjectionTime > duration::zero())
     return "ejected";
--- a/Tests/NodeProcesses/node_fleet.cpp
+++ b/Tests/NodeProcesses/node_fleet.cpp
@@ -51,7 +51,7 @@
 
 void caller_call::onFailure(const call_failure &Failure) {
   Response.IsCompleted = true;
-  Response.IsTruncated = Failure.HadAnswer;
+  Response.IsTruncated = Failure.HadResponseBytes;
 }
 
 node_fleet::node_fleet(std::string Program) : Program(std::move(Program)) {
--- a/Tests/Scheduler/world.cpp
+++ b/Tests/Scheduler/world.cpp
@@ -76,7 +76,7 @@
   if (has(fault::TargetLeaves))
     at(Begin, [this] {
       const std::string Target = Targets.front().Name;
-      Departed.insert(Target);
+      Retired.insert(Target);
       Result.History.Departures.push_back({Now, Target});
     });
 }
--- a/Tests/Scheduler/world_gateways.cpp
+++ b/Tests/Scheduler/world_gateways.cpp
@@ -258,7 +258,7 @@
   if (Place != SIZE_MAX) {
     const recorded_execution &Execution = Result.History.Executions[Place];
     Ended.Answer = {200, "text/plain", Execution.Operation};
-    Ended.Leaving = Departed.contains(Execution.Target) &&
+    Ended.Leaving = Retired.contains(Execution.Target) &&
                     Options.Sabotage != sabotage::LeavingIgnored;
   }
   after(latency(), [=, this] {
--- a/Tests/Scheduler/world_state.h
+++ b/Tests/Scheduler/world_state.h
@@ -133,7 +133,7 @@
   std::set<std::string> ProvedDead;
   pool_object Pool;
   std::vector<target_settings> Targets;
-  std::set<std::string> Departed;
+  std::set<std::string> Retired;
   /// Destination of a response and the operation that it belongs to, by the
   /// gateway's token.
   struct routed {
--- a/Tests/pacing_test.cpp
+++ b/Tests/pacing_test.cpp
@@ -67,11 +67,11 @@
   for (windowed_retry_budget &Budget : Budgets)
     Budget.Bounds = {Ratio, seconds(10), Slack};
   std::vector<int> Requests;
-  std::vector<int> Repeats;
+  std::vector<int> RetryBudget;
   for (int Step = 0; Step < 400; ++Step) {
     const instant Now = instant(seconds(1'000) + milliseconds(100 * Step));
     Requests.push_back(0);
-    Repeats.push_back(0);
+    RetryBudget.push_back(0);
     for (windowed_retry_budget &Budget : Budgets) {
       const auto Arrivals = static_cast<int>(Random() % 4);
       for (int Index = 0; Index < Arrivals; ++Index) {
@@ -79,14 +79,14 @@
         ++Requests.back();
         // Every attempt fails and is retried as often as permitted.
         while (tryAcquireRetry(Budget, "desk", Count, Now))
-          ++Repeats.back();
+          ++RetryBudget.back();
       }
     }
     int RequestsInWindow = 0;
     int RepeatsInWindow = 0;
     for (int Back = 0; Back < 100 && Back <= Step; ++Back) {
       RequestsInWindow += Requests[static_cast<std::size_t>(Step - Back)];
-      RepeatsInWindow += Repeats[static_cast<std::size_t>(Step - Back)];
+      RepeatsInWindow += RetryBudget[static_cast<std::size_t>(Step - Back)];
     }
     CHECK(RepeatsInWindow <= Ratio * RequestsInWindow + Slack);
   }
--- a/Tests/placement_test.cpp
+++ b/Tests/placement_test.cpp
@@ -15,15 +15,15 @@
   target_directory Directory;
   setDomains(Directory, {{"a1", "a"}, {"b1", "b"}});
   for (int Index = 0; Index < InA + InB; ++Index)
-    putTarget(Directory,
-              {"s" + std::to_string(Index),
-               "desk",
-               "127.0.0.1:1",
-               Index < InA ? "a1" : "b1",
-               4,
-               false,
-               {}},
-              instant());
+    upsertTarget(Directory,
+                 {"s" + std::to_string(Index),
+                  "desk",
+                  "127.0.0.1:1",
+                  Index < InA ? "a1" : "b1",
+                  4,
+                  false,
+                  {}},
+                 instant());
   return Directory;
 }
 
@@ -48,8 +48,8 @@
   target_directory Other;
   setDomains(Other, {{"a1", "a"}, {"b1", "b"}});
   for (int Index = 11; Index >= 0; --Index)
-    putTarget(Other, One.ById.at("s" + std::to_string(Index))->Entry,
-              instant());
+    upsertTarget(Other, One.ById.at("s" + std::to_string(Index))->Entry,
+                 instant());
   const std::vector<double> Weights = {2, 0.5};
   for (int Object = 0; Object < Objects; ++Object)
     CHECK_EQUAL(firstFor(One, Object, Weights),
--- a/Tests/platform_codec_test.cpp
+++ b/Tests/platform_codec_test.cpp
@@ -73,7 +73,7 @@
   const auto Read = platform::decodeTarget(TargetText);
   CHECK(Read.has_value());
   CHECK_EQUAL(std::string("i-1"), Read->Id);
-  CHECK(Read->IsLeaving);
+  CHECK(Read->IsDraining);
   LONGS_EQUAL(6, Read->Slots);
   CHECK(Read->ColdFor == milliseconds(1'500));
 }
--- a/Tests/quarantine_test.cpp
+++ b/Tests/quarantine_test.cpp
@@ -23,7 +23,7 @@
 void crash(quarantine &Quarantine, std::uint64_t Content, int Servers,
            instant Now = Start) {
   for (int Server = 1; Server <= Servers; ++Server)
-    noteCrash(Quarantine, Content, stableHash("s", Server), Now);
+    recordCrash(Quarantine, Content, stableHash("s", Server), Now);
 }
 
 bool isRefused(const quarantine &Quarantine, std::uint64_t Content,
@@ -34,11 +34,11 @@
 /// Sends everything that one instance has recorded to another.
 void sendAllReports(quarantine &From, quarantine &To, instant Now) {
   for (std::size_t Left = From.Records.size(); Left > 0; --Left)
-    takeReports(To, reportInTurn(From, Now), Now);
-  for (auto News = reportNews(From, Now); !News.empty();
-       News = reportNews(From, Now))
-    takeReports(To, News, Now);
-  takeReports(To, reportSuspicions(From, Now), Now);
+    applyReports(To, collectPiggybackedReports(From, Now), Now);
+  for (auto News = collectAnnouncements(From, Now); !News.empty();
+       News = collectAnnouncements(From, Now))
+    applyReports(To, News, Now);
+  applyReports(To, collectSuspicions(From, Now), Now);
 }
 
 } // namespace
@@ -51,7 +51,7 @@
   quarantine Quarantine;
   crash(Quarantine, Deadly, 2);
   CHECK_FALSE(isRefused(Quarantine, Deadly));
-  const auto Change = noteCrash(Quarantine, Deadly, 99, Start);
+  const auto Change = recordCrash(Quarantine, Deadly, 99, Start);
   CHECK(Change && Change->IsQuarantined && Change->Crashes == 3);
   CHECK(isRefused(Quarantine, Deadly));
   CHECK_FALSE(isRefused(Quarantine, Popular));
@@ -61,7 +61,7 @@
 TEST(Quarantine, CountsEachCrashedServerOnce) {
   quarantine Quarantine;
   for (int Request = 0; Request < 10; ++Request)
-    noteCrash(Quarantine, Deadly, 99, Start);
+    recordCrash(Quarantine, Deadly, 99, Start);
   CHECK_FALSE(isRefused(Quarantine, Deadly));
 }
 
@@ -69,7 +69,7 @@
 // servers of a site when they failed together.
 TEST(Quarantine, PopularContentSurvivesServerOutage) {
   quarantine Quarantine;
-  noteSoundAnswer(Quarantine, Popular, Start);
+  recordValidResponse(Quarantine, Popular, Start);
   crash(Quarantine, Popular, 5, Start + seconds(5));
   CHECK_FALSE(isRefused(Quarantine, Popular, Start + seconds(5)));
 }
@@ -79,7 +79,7 @@
 TEST(Quarantine, ValidResponseVoidsCrashesOfOtherInstances) {
   quarantine Quarantine;
   quarantine Other;
-  noteSoundAnswer(Quarantine, Popular, Start);
+  recordValidResponse(Quarantine, Popular, Start);
   crash(Other, Popular, 3, Start + seconds(1));
   CHECK(isRefused(Other, Popular));
   sendAllReports(Other, Quarantine, Start + seconds(2));
@@ -97,7 +97,7 @@
 // servers now.
 TEST(Quarantine, ValidResponseExpires) {
   quarantine Quarantine;
-  noteSoundAnswer(Quarantine, Deadly, Start);
+  recordValidResponse(Quarantine, Deadly, Start);
   const instant Later = Start + Quarantine.Policy.ValidResponseWindow;
   crash(Quarantine, Deadly, 3, Later);
   CHECK(isRefused(Quarantine, Deadly, Later));
@@ -106,9 +106,9 @@
 TEST(Quarantine, CombinesCrashesOfSeveralInstances) {
   quarantine First;
   quarantine Second;
-  noteCrash(First, Deadly, 1, Start);
-  noteCrash(Second, Deadly, 2, Start);
-  noteCrash(Second, Deadly, 3, Start);
+  recordCrash(First, Deadly, 1, Start);
+  recordCrash(Second, Deadly, 2, Start);
+  recordCrash(Second, Deadly, 3, Start);
   sendAllReports(First, Second, Start);
   sendAllReports(Second, First, Start);
   CHECK(isRefused(First, Deadly));
@@ -126,13 +126,13 @@
   CHECK(isAdmitted(Quarantine, Deadly, true, First));
   recordTrial(Quarantine, Deadly, First);
   CHECK_FALSE(isAdmitted(Quarantine, Deadly, true, First + milliseconds(1)));
-  noteCrash(Quarantine, Deadly, 99, First + seconds(1));
+  recordCrash(Quarantine, Deadly, 99, First + seconds(1));
   const duration Next =
       Quarantine.Policy.FirstTrialDelay * Quarantine.Policy.TrialDelayFactor;
   CHECK_FALSE(isAdmitted(Quarantine, Deadly, true, First + Next));
   CHECK(isAdmitted(Quarantine, Deadly, true, First + seconds(1) + Next));
   const auto Change =
-      noteSoundAnswer(Quarantine, Deadly, First + seconds(2) + Next);
+      recordValidResponse(Quarantine, Deadly, First + seconds(2) + Next);
   CHECK(Change && !Change->IsQuarantined);
   CHECK(isAdmitted(Quarantine, Deadly, false, First + seconds(2) + Next));
 }
@@ -143,14 +143,14 @@
   quarantine Quarantine;
   crash(Quarantine, Deadly, 3);
   for (std::uint64_t Content = 1'000; Content < 3'000; ++Content)
-    noteCrash(Quarantine, Content, Content, Start + seconds(1));
+    recordCrash(Quarantine, Content, Content, Start + seconds(1));
   UNSIGNED_LONGS_EQUAL(Quarantine.Policy.MaxRecords, Quarantine.Records.size());
   CHECK(isRefused(Quarantine, Deadly));
   quarantine Full;
   for (std::uint64_t Content = 0; Content < Full.Policy.MaxRecords; ++Content)
     crash(Full, Content, 3);
-  noteCrash(Full, 1'000, 1, Start);
-  UNSIGNED_LONGS_EQUAL(1, Full.LeftOut);
+  recordCrash(Full, 1'000, 1, Start);
+  UNSIGNED_LONGS_EQUAL(1, Full.DroppedCrashes);
   UNSIGNED_LONGS_EQUAL(Full.Policy.MaxRecords, countQuarantined(Full));
 }
 
@@ -163,11 +163,11 @@
   sendAllReports(First, Second, Start + minutes(9));
   CHECK(isRefused(Second, Deadly));
   const instant End = Start + First.Policy.RecordLifetime;
-  forgetOldRecords(First, End);
+  evictExpiredRecords(First, End);
   CHECK(First.Records.empty());
   sendAllReports(Second, First, End);
   CHECK(First.Records.empty());
-  forgetOldRecords(Second, End);
+  evictExpiredRecords(Second, End);
   CHECK(Second.Records.empty());
 }
 
@@ -183,7 +183,7 @@
       {Deadly, 0, {1, 2, 3}, seconds(-1)},
       {Deadly, 0, {1, 2, 3}, std::chrono::hours(100)},
   };
-  CHECK(takeReports(Quarantine, Reports, Start).empty());
+  CHECK(applyReports(Quarantine, Reports, Start).empty());
   CHECK(Quarantine.Records.empty());
 }
 
@@ -256,33 +256,35 @@
     while (!UnderWay.empty() && UnderWay.begin()->first <= Now) {
       const message Message = std::move(UnderWay.begin()->second);
       UnderWay.erase(UnderWay.begin());
-      takeReports(Instances[Message.To], Message.Reports, Now);
+      applyReports(Instances[Message.To], Message.Reports, Now);
       if (Message.WantsAnswer)
-        send({Message.From, reportInTurn(Instances[Message.To], Now), false,
+        send({Message.From,
+              collectPiggybackedReports(Instances[Message.To], Now), false,
               Message.To});
     }
   }
 
   void tick(std::size_t Index) {
     for (const crash_report &Suspicion :
-         reportSuspicions(Instances[Index], Now))
+         collectSuspicions(Instances[Index], Now))
       for (std::size_t Counting : countingInstances(Suspicion.Content))
         if (Counting != Index)
           send({Counting, {Suspicion}, false, Index});
     for (int Receiver = 0; Receiver < AnnouncementReceivers; ++Receiver)
-      send({other(), reportNews(Instances[Index], Now), false, Index});
+      send(
+          {other(), collectAnnouncements(Instances[Index], Now), false, Index});
   }
 
   [[nodiscard]] std::vector<std::size_t>
   countingInstances(std::uint64_t Content) const {
     std::vector<std::size_t> Order(Instances.size());
     std::iota(Order.begin(), Order.end(), 0);
-    std::partial_sort(Order.begin(), Order.begin() + CountingInstances,
+    std::partial_sort(Order.begin(), Order.begin() + SuspicionOwners,
                       Order.end(), [&](std::size_t Left, std::size_t Right) {
                         return rendezvousRank(Left, Content) >
                                rendezvousRank(Right, Content);
                       });
-    Order.resize(CountingInstances);
+    Order.resize(SuspicionOwners);
     return Order;
   }
 
@@ -297,7 +299,8 @@
       if ((Now - Start + Phase) % TickPeriod < Step)
         tick(Index);
       if ((Now - Start + Phase) % ProbePeriod < Step)
-        send({other(), reportInTurn(Instances[Index], Now), true, Index});
+        send({other(), collectPiggybackedReports(Instances[Index], Now), true,
+              Index});
     }
   }
 
@@ -328,9 +331,9 @@
 void crashAt(simulated_fleet &Fleet, std::uint64_t Server) {
   constexpr std::uint64_t Bystanders = 3;
   quarantine &Quarantine = Fleet.Instances[Fleet.other()];
-  noteCrash(Quarantine, Deadly, Server, Fleet.Now);
+  recordCrash(Quarantine, Deadly, Server, Fleet.Now);
   for (std::uint64_t Index = 0; Index < Bystanders; ++Index)
-    noteCrash(Quarantine, 1'000 * Server + Index, Server, Fleet.Now);
+    recordCrash(Quarantine, 1'000 * Server + Index, Server, Fleet.Now);
 }
 
 } // namespace
@@ -362,8 +365,8 @@
   for (std::uint64_t Server = 10; Server < 90; ++Server) {
     const std::uint64_t Bystander = 1'000 * Server;
     for (std::uint64_t Index = 0; Index < 6; ++Index)
-      noteCrash(Fleet.Instances[Fleet.other()], Bystander + Index, Server,
-                Fleet.Now);
+      recordCrash(Fleet.Instances[Fleet.other()], Bystander + Index, Server,
+                  Fleet.Now);
     Fleet.step();
   }
   for (std::uint64_t Server = 1; Server <= 3; ++Server)
--- a/Tests/region_shift_test.cpp
+++ b/Tests/region_shift_test.cpp
@@ -52,20 +52,20 @@
   Configuration.Services = {Service};
   applyConfiguration(Steering, std::move(Configuration));
   Steering.Instances = {1, 2, 3};
-  Steering.Repeats.Bounds = {0.2, seconds(10), 60};
+  Steering.RetryBudget.Bounds = {0.2, seconds(10), 60};
   const std::array<std::string, 3> Domains = {"a1", "b1", "c1"};
   for (std::size_t Region = 0; Region < ServersByRegion.size(); ++Region)
     for (int Index = 0; Index < ServersByRegion[Region]; ++Index) {
       const std::string Id = Domains[Region] + "-" + std::to_string(Index);
-      putTarget(Steering.Targets,
-                {Id,
-                 "desk",
-                 "127.0.0.1:1",
-                 Domains[Region],
-                 SlotsPerServer,
-                 false,
-                 {}},
-                instant());
+      upsertTarget(Steering.Targets,
+                   {Id,
+                    "desk",
+                    "127.0.0.1:1",
+                    Domains[Region],
+                    SlotsPerServer,
+                    false,
+                    {}},
+                   instant());
     }
   return Steering;
 }
@@ -99,7 +99,7 @@
         continue;
       recordArrival(Arrivals, Steering, **Chosen, Now);
       if (Load.Slots > 0)
-        noteServerLoad(Steering, **Chosen, Load, Now);
+        recordServerLoad(Steering, **Chosen, Load, Now);
     }
 }
 
@@ -149,7 +149,7 @@
   for (int Object = 0; Object < ObjectsOfRegion; ++Object) {
     request_plan Plan = planFor(Steering, Object, instant());
     const auto First = chooseTarget(Steering, Plan, instant());
-    Plan.Tried.push_back(First.value()->Entry.Id);
+    Plan.TriedTargets.push_back(First.value()->Entry.Id);
     const auto Second = chooseTarget(Steering, Plan, instant());
     ++Counts[Second.value()->RegionIndex];
   }
@@ -213,7 +213,7 @@
   steering Steering = makeSteering(1);
   for (const auto &[Id, Target] : Steering.Targets.ById)
     if (Target->RegionIndex == 1)
-      Target->Entry.IsLeaving = true;
+      Target->Entry.IsDraining = true;
   arrivals Arrivals;
   sendUntil(Arrivals, Steering, instant(), instant(seconds(2)));
   const double Smaller = Arrivals.at(0)[0] / total(Arrivals.at(0));
--- a/Tests/region_spread_test.cpp
+++ b/Tests/region_spread_test.cpp
@@ -86,5 +86,5 @@
 TEST(RegionSpread, IgnoresReportWithoutSlots) {
   region_spillover Spread;
   recordUtilization(Spread, 3, 0);
-  DOUBLES_EQUAL(0, Spread.Occupation, 0);
+  DOUBLES_EQUAL(0, Spread.Utilization, 0);
 }
--- a/Tests/steering_test.cpp
+++ b/Tests/steering_test.cpp
@@ -35,17 +35,17 @@
   Configuration.Services = {Service};
   applyConfiguration(Steering, std::move(Configuration));
   Steering.Instances = {1, 2, 3};
-  Steering.Repeats.Bounds = {0.2, seconds(10), 60};
+  Steering.RetryBudget.Bounds = {0.2, seconds(10), 60};
   for (int Index = 0; Index < Servers; ++Index)
-    putTarget(Steering.Targets,
-              {"s" + std::to_string(Index),
-               "desk",
-               "127.0.0.1:1",
-               Index % 2 == 0 ? "a1" : "b1",
-               4,
-               false,
-               {}},
-              instant());
+    upsertTarget(Steering.Targets,
+                 {"s" + std::to_string(Index),
+                  "desk",
+                  "127.0.0.1:1",
+                  Index % 2 == 0 ? "a1" : "b1",
+                  4,
+                  false,
+                  {}},
+                 instant());
   return Steering;
 }
 
@@ -77,9 +77,9 @@
     Plan.Arrivals = 1;
     Plan.MayHaveRun = true;
     CHECK_EQUAL(Class == work_class::Idempotent,
-                mayRepeat(Steering, Plan, instant()));
+                mayRetry(Steering, Plan, instant()));
     Plan.MayHaveRun = false;
-    CHECK(mayRepeat(Steering, Plan, instant()));
+    CHECK(mayRetry(Steering, Plan, instant()));
   }
 }
 
@@ -87,14 +87,14 @@
   steering Steering = makeSteering(6, work_class::Idempotent, 2);
   request_plan Plan = plan(Steering);
   Plan.Arrivals = 2;
-  CHECK_FALSE(mayRepeat(Steering, Plan, instant()));
+  CHECK_FALSE(mayRetry(Steering, Plan, instant()));
 }
 
 TEST(Steering, ExcludesTriedServerFromRetry) {
   steering Steering = makeSteering(2, work_class::Idempotent);
   request_plan Plan = plan(Steering);
   target *First = chooseTarget(Steering, Plan, instant()).value();
-  Plan.Tried.push_back(First->Entry.Id);
+  Plan.TriedTargets.push_back(First->Entry.Id);
   CHECK(chooseTarget(Steering, Plan, instant()).value() != First);
 }
 
@@ -204,8 +204,8 @@
     target &Chosen = *chooseTarget(Steering, Plan, instant()).value();
     AtFirst += &Chosen == &First ? 1 : 0;
     beginAttempt(Steering, Attempts, Chosen, instant());
-    noteResult(Steering.Targets, Chosen, attempt_result::Answered,
-               milliseconds(1), instant());
+    recordResult(Steering.Targets, Chosen, attempt_result::Answered,
+                 milliseconds(1), instant());
   }
   CHECK(AtFirst <= 1);
 }
@@ -217,11 +217,16 @@
 TEST(Steering, OnlyImmediateCloseOfReusedConnectionIsNoFailure) {
   const duration Soon = milliseconds(70);
   const duration Late = milliseconds(390);
-  CHECK(resultOf({false, true, false, Soon}) == attempt_result::Cancelled);
-  CHECK(resultOf({false, true, false, Late}) == attempt_result::Failed);
-  CHECK(resultOf({false, true, true, Soon}) == attempt_result::Failed);
-  CHECK(resultOf({false, false, false, Soon}) == attempt_result::Failed);
-  CHECK(resultOf({true, false, false, Late}) == attempt_result::Unreachable);
+  CHECK(classifyBrokenAttempt({false, true, false, Soon}) ==
+        attempt_result::Cancelled);
+  CHECK(classifyBrokenAttempt({false, true, false, Late}) ==
+        attempt_result::Failed);
+  CHECK(classifyBrokenAttempt({false, true, true, Soon}) ==
+        attempt_result::Failed);
+  CHECK(classifyBrokenAttempt({false, false, false, Soon}) ==
+        attempt_result::Failed);
+  CHECK(classifyBrokenAttempt({true, false, false, Late}) ==
+        attempt_result::Unreachable);
 }
 
 // Guards against uneven load when routes use the same short object keys:
@@ -283,7 +288,7 @@
   Harmless.Content = 2;
   CHECK(chooseTarget(Steering, Plan, instant()).has_value());
   for (std::uint64_t Server = 1; Server <= 3; ++Server)
-    noteCrash(Steering.Quarantine, Plan.Content, Server, instant());
+    recordCrash(Steering.Quarantine, Plan.Content, Server, instant());
   const auto Chosen = chooseTarget(Steering, Plan, instant());
   CHECK(!Chosen && Chosen.error() == refusal::Quarantined);
   CHECK(chooseTarget(Steering, Harmless, instant()).has_value());
@@ -301,7 +306,7 @@
                             seconds(3),     TrialAt, 1};
   request_plan Plan = planRequest(Steering, Facts).value();
   for (std::uint64_t Server = 1; Server <= 3; ++Server)
-    noteCrash(Steering.Quarantine, Plan.Content, Server, instant());
+    recordCrash(Steering.Quarantine, Plan.Content, Server, instant());
   const auto Chosen = chooseTarget(Steering, Plan, TrialAt);
   CHECK(Chosen.has_value());
   beginAttempt(Steering, Plan, **Chosen, TrialAt);
@@ -315,8 +320,8 @@
   const request_plan Plan = plan(Steering);
   const instant RestEnd{milliseconds(800)};
   for (const auto &[Id, Target] : Steering.Targets.ById)
-    noteRest(Steering.Targets, *Target,
-             Id == "s1" ? RestEnd : RestEnd + seconds(60));
+    recordBackoff(Steering.Targets, *Target,
+                  Id == "s1" ? RestEnd : RestEnd + seconds(60));
   const auto Chosen = chooseTarget(Steering, Plan, instant());
   CHECK(!Chosen && Chosen.error() == refusal::BackingOff);
   std::set<std::int64_t> Times;
@@ -335,7 +340,7 @@
   steering Steering = makeSteering(4, work_class::Idempotent);
   const request_plan Plan = plan(Steering);
   target *First = chooseTarget(Steering, Plan, instant()).value();
-  noteRest(Steering.Targets, *First, instant(seconds(1)));
+  recordBackoff(Steering.Targets, *First, instant(seconds(1)));
   const auto Other = chooseTarget(Steering, Plan, instant());
   CHECK(Other.has_value() && *Other != First);
   POINTERS_EQUAL(First,
--- a/Tests/targets_test.cpp
+++ b/Tests/targets_test.cpp
@@ -19,7 +19,7 @@
   target_directory Directory;
   setDomains(Directory, {{"a1", "a"}, {"b1", "b"}});
   for (int Index = 0; Index < Count; ++Index)
-    putTarget(Directory, makeEntry("s" + std::to_string(Index)), instant());
+    upsertTarget(Directory, makeEntry("s" + std::to_string(Index)), instant());
   return Directory;
 }
 
@@ -30,7 +30,7 @@
 void attempt(target_directory &Directory, target &Target, attempt_result Result,
              instant Now) {
   recordAttemptStart(Target, Now);
-  noteResult(Directory, Target, Result, milliseconds(100), Now);
+  recordResult(Directory, Target, Result, milliseconds(100), Now);
 }
 
 } // namespace
@@ -47,7 +47,7 @@
   target_directory Directory = makeDirectory(2);
   removeTarget(Directory, "s0", /*ListIsComplete=*/false);
   CHECK(isUsable(Directory, get(Directory, "s0"), instant()));
-  putTarget(Directory, makeEntry("s0"), instant(seconds(2)));
+  upsertTarget(Directory, makeEntry("s0"), instant(seconds(2)));
   removeMissing(Directory);
   CHECK(Directory.ById.contains("s0"));
 }
@@ -69,26 +69,26 @@
 // polls of its own, and forwards it as incomplete. If each unanswered poll
 // counts as a new outage, a removed server still receives requests 2.9 s later.
 TEST(Targets, ConnectedPeerOverridesLocalStoreOutage) {
-  list_trust Trust;
-  noteStoreTrouble(Trust, instant(seconds(10)));
-  CHECK_FALSE(isListSure(Trust, instant(seconds(11))));
+  list_completeness Trust;
+  recordStoreOutage(Trust, instant(seconds(10)));
+  CHECK_FALSE(isListComplete(Trust, instant(seconds(11))));
   for (int Step = 0; Step < 40; ++Step) {
     const instant Now = instant(seconds(11)) + milliseconds(100 * Step);
     if (Step % 4 == 0)
-      notePeerTrust(Trust, /*PeerListIsComplete=*/true, Now);
+      recordPeerView(Trust, /*PeerListIsComplete=*/true, Now);
     if (Step % 3 == 0)
-      noteStoreTrouble(Trust, Now);
-    CHECK(isListSure(Trust, Now));
+      recordStoreOutage(Trust, Now);
+    CHECK(isListComplete(Trust, Now));
   }
 }
 
 TEST(Targets, ListIsIncompleteAfterStoreOutage) {
-  list_trust Trust;
-  CHECK(isListSure(Trust, instant(seconds(1))));
-  notePeerTrust(Trust, /*PeerListIsComplete=*/false, instant(seconds(5)));
-  noteStoreTrouble(Trust, instant(seconds(10)));
-  CHECK_FALSE(isListSure(Trust, instant(seconds(12))));
-  CHECK(isListSure(Trust, instant(seconds(13))));
+  list_completeness Trust;
+  CHECK(isListComplete(Trust, instant(seconds(1))));
+  recordPeerView(Trust, /*PeerListIsComplete=*/false, instant(seconds(5)));
+  recordStoreOutage(Trust, instant(seconds(10)));
+  CHECK_FALSE(isListComplete(Trust, instant(seconds(12))));
+  CHECK(isListComplete(Trust, instant(seconds(13))));
 }
 
 TEST(Targets, FullSnapshotRemovesUnlistedServers) {
@@ -102,20 +102,20 @@
   target &Target = get(Directory, "s0");
   recordAttemptStart(Target, instant());
   removeTarget(Directory, "s0", /*ListIsComplete=*/true);
-  freeDeparted(Directory);
-  LONGS_EQUAL(1, Directory.Departed.size());
-  noteResult(Directory, Target, attempt_result::Answered, milliseconds(1),
-             instant());
-  freeDeparted(Directory);
-  LONGS_EQUAL(0, Directory.Departed.size());
+  freeRetired(Directory);
+  LONGS_EQUAL(1, Directory.Retired.size());
+  recordResult(Directory, Target, attempt_result::Answered, milliseconds(1),
+               instant());
+  freeRetired(Directory);
+  LONGS_EQUAL(0, Directory.Retired.size());
 }
 
 TEST(Targets, DrainingServerStaysUnusable) {
   target_directory Directory = makeDirectory(1);
   target_entry Entry = makeEntry("s0");
-  Entry.IsLeaving = true;
-  putTarget(Directory, Entry, instant());
-  putTarget(Directory, makeEntry("s0"), instant());
+  Entry.IsDraining = true;
+  upsertTarget(Directory, Entry, instant());
+  upsertTarget(Directory, makeEntry("s0"), instant());
   CHECK_FALSE(isUsable(Directory, get(Directory, "s0"), instant()));
 }
 
@@ -132,7 +132,7 @@
   recordAttemptStart(Target, Later);
   // Only one trial at a time is permitted.
   CHECK_FALSE(isUsable(Directory, Target, Later));
-  noteResult(Directory, Target, attempt_result::Unreachable, {}, Later);
+  recordResult(Directory, Target, attempt_result::Unreachable, {}, Later);
   CHECK_FALSE(isUsable(Directory, Target, Later + milliseconds(700)));
   const instant Back = Later + seconds(1);
   attempt(Directory, Target, attempt_result::Answered, Back);
@@ -168,8 +168,8 @@
   target &Target = get(Directory, "s0");
   recordAttemptStart(Target, instant());
   recordLoadReport(Target, {4, 2, 4}, instant());
-  noteResult(Directory, Target, attempt_result::Answered, milliseconds(1),
-             instant());
+  recordResult(Directory, Target, attempt_result::Answered, milliseconds(1),
+               instant());
   DOUBLES_EQUAL(6, estimatedLoad(Target, instant()), 0.01);
   recordAttemptStart(Target, instant());
   DOUBLES_EQUAL(7, estimatedLoad(Target, instant()), 0.01);
@@ -184,12 +184,12 @@
   target &Before = get(Directory, "s0");
   const std::uint64_t SerialBefore = Before.Serial;
   recordLoadReport(Before, {4, 9, 4}, instant());
-  noteLeaving(Directory, Before);
+  recordDraining(Directory, Before);
   recordAttemptStart(Before, instant());
   target_entry Entry = makeEntry("s0");
   Entry.StartedAtMs = 1'700'000'000'000;
   Entry.ColdFor = seconds(3);
-  putTarget(Directory, Entry, instant(seconds(1)));
+  upsertTarget(Directory, Entry, instant(seconds(1)));
   target &After = get(Directory, "s0");
   CHECK(After.Serial != SerialBefore);
   CHECK(isUsable(Directory, After, instant(seconds(1))));
@@ -198,13 +198,13 @@
   LONGS_EQUAL(2, Directory.ByService.at("desk").size());
   // A request in flight at the previous incarnation completes on its own
   // record.
-  LONGS_EQUAL(1, Directory.Departed.size());
-  freeDeparted(Directory);
-  LONGS_EQUAL(1, Directory.Departed.size());
-  noteResult(Directory, *Directory.Departed[0], attempt_result::Failed,
-             milliseconds(5), instant(seconds(1)));
-  freeDeparted(Directory);
-  LONGS_EQUAL(0, Directory.Departed.size());
+  LONGS_EQUAL(1, Directory.Retired.size());
+  freeRetired(Directory);
+  LONGS_EQUAL(1, Directory.Retired.size());
+  recordResult(Directory, *Directory.Retired[0], attempt_result::Failed,
+               milliseconds(5), instant(seconds(1)));
+  freeRetired(Directory);
+  LONGS_EQUAL(0, Directory.Retired.size());
 }
 
 // Another entry for the same incarnation, with a different state, keeps the
@@ -213,10 +213,10 @@
   target_directory Directory = makeDirectory(1);
   target_entry Entry = makeEntry("s0");
   Entry.StartedAtMs = 7;
-  putTarget(Directory, Entry, instant());
+  upsertTarget(Directory, Entry, instant());
   const std::uint64_t Serial = get(Directory, "s0").Serial;
-  noteLeaving(Directory, get(Directory, "s0"));
-  putTarget(Directory, Entry, instant(seconds(1)));
+  recordDraining(Directory, get(Directory, "s0"));
+  upsertTarget(Directory, Entry, instant(seconds(1)));
   LONGS_EQUAL(Serial, get(Directory, "s0").Serial);
   CHECK_FALSE(isUsable(Directory, get(Directory, "s0"), instant(seconds(1))));
 }
@@ -227,8 +227,8 @@
   target_directory Directory = makeDirectory(1);
   target &Target = get(Directory, "s0");
   attempt(Directory, Target, attempt_result::Unreachable, instant());
-  noteRest(Directory, Target, instant(seconds(3)));
-  noteRest(Directory, Target, instant(seconds(1)));
+  recordBackoff(Directory, Target, instant(seconds(3)));
+  recordBackoff(Directory, Target, instant(seconds(1)));
   CHECK_FALSE(isUsable(Directory, Target, instant(milliseconds(2'999))));
   CHECK(isUsable(Directory, Target, instant(seconds(3))));
 }
@@ -240,8 +240,8 @@
   for (int Second = 0; Second < 20; ++Second) {
     const instant Now{seconds(Second)};
     recordAttemptStart(Target, Now);
-    noteRest(Directory, Target, Now + milliseconds(500));
-    noteResult(Directory, Target, attempt_result::Shed, milliseconds(1), Now);
+    recordBackoff(Directory, Target, Now + milliseconds(500));
+    recordResult(Directory, Target, attempt_result::Shed, milliseconds(1), Now);
   }
   CHECK(isUsable(Directory, Target, instant(seconds(20))));
 }
@@ -255,15 +255,15 @@
     // A request in flight keeps the record alive after its entry is removed.
     recordAttemptStart(Target, instant());
     if (!IsReportedLate)
-      noteRest(Directory, Target, instant(seconds(3)));
+      recordBackoff(Directory, Target, instant(seconds(3)));
     removeTarget(Directory, "s0", /*ListIsComplete=*/true);
     if (IsReportedLate)
-      noteRest(Directory, Target, instant(seconds(3)));
-    putTarget(Directory, makeEntry("s0"), instant(seconds(1)));
+      recordBackoff(Directory, Target, instant(seconds(3)));
+    upsertTarget(Directory, makeEntry("s0"), instant(seconds(1)));
     CHECK_FALSE(isUsable(Directory, get(Directory, "s0"), instant(seconds(1))));
     target_entry Again = makeEntry("s0");
     Again.StartedAtMs = 7;
-    putTarget(Directory, Again, instant(seconds(1)));
+    upsertTarget(Directory, Again, instant(seconds(1)));
     CHECK(isUsable(Directory, get(Directory, "s0"), instant(seconds(1))));
   }
 }
@@ -276,8 +276,8 @@
   target &Old = get(Directory, "s0");
   recordAttemptStart(Old, instant());
   removeTarget(Directory, "s0", /*ListIsComplete=*/true);
-  putTarget(Directory, makeEntry("s0"), instant());
-  noteRest(Directory, Old, instant(seconds(3)));
+  upsertTarget(Directory, makeEntry("s0"), instant());
+  recordBackoff(Directory, Old, instant(seconds(3)));
   CHECK_FALSE(isUsable(Directory, get(Directory, "s0"), instant(seconds(1))));
 }
 
@@ -290,11 +290,11 @@
     target &Old = get(Directory, "s0");
     recordAttemptStart(Old, instant());
     if (!IsReplaced)
-      noteLeaving(Directory, Old);
+      recordDraining(Directory, Old);
     removeTarget(Directory, "s0", /*ListIsComplete=*/true);
-    putTarget(Directory, makeEntry("s0"), instant());
+    upsertTarget(Directory, makeEntry("s0"), instant());
     if (IsReplaced)
-      noteResult(Directory, Old, attempt_result::Replaced, {}, instant());
+      recordResult(Directory, Old, attempt_result::Replaced, {}, instant());
     CHECK_FALSE(isUsable(Directory, get(Directory, "s0"), instant()));
   }
 }
@@ -306,13 +306,13 @@
   target &Old = get(Directory, "s0");
   recordAttemptStart(Old, instant());
   removeTarget(Directory, "s0", /*ListIsComplete=*/true);
-  putTarget(Directory, makeEntry("s0"), instant());
+  upsertTarget(Directory, makeEntry("s0"), instant());
   target &Current = get(Directory, "s0");
-  noteRest(Directory, Current, instant(seconds(9)));
-  noteRest(Directory, Old, instant(seconds(3)));
+  recordBackoff(Directory, Current, instant(seconds(9)));
+  recordBackoff(Directory, Old, instant(seconds(3)));
   CHECK_FALSE(isUsable(Directory, Current, instant(seconds(8))));
-  noteLeaving(Directory, Current);
-  noteRest(Directory, Old, instant(seconds(3)));
+  recordDraining(Directory, Current);
+  recordBackoff(Directory, Old, instant(seconds(3)));
   CHECK_FALSE(isUsable(Directory, Current, instant(seconds(60))));
 }
 
@@ -321,11 +321,11 @@
   target_directory Directory = makeDirectory(0);
   for (int Index = 0; Index < 2'000; ++Index) {
     const std::string Id = "s" + std::to_string(Index);
-    putTarget(Directory, makeEntry(Id), instant());
-    noteLeaving(Directory, get(Directory, Id));
+    upsertTarget(Directory, makeEntry(Id), instant());
+    recordDraining(Directory, get(Directory, Id));
     removeTarget(Directory, Id, /*ListIsComplete=*/true);
   }
   CHECK_COMPARE(Directory.RetainedStates.size(), <=, std::size_t{512});
-  putTarget(Directory, makeEntry("s1999"), instant());
+  upsertTarget(Directory, makeEntry("s1999"), instant());
   CHECK_FALSE(isUsable(Directory, get(Directory, "s1999"), instant()));
 }
