--- a/Libraries/Fleet/fleet.cpp
+++ b/Libraries/Fleet/fleet.cpp
@@ -104,7 +104,7 @@
   return Addresses;
 }
 
-const fleet_member *pickUpMember(fleet &Fleet) {
+const fleet_member *pickRandomUpMember(fleet &Fleet) {
   const std::size_t Size = Fleet.Members.size();
   for (std::size_t Attempt = 0; Size > 0 && Attempt < MaxPickAttempts;
        ++Attempt) {
--- a/Libraries/Fleet/fleet.h
+++ b/Libraries/Fleet/fleet.h
@@ -39,7 +39,7 @@
   fleet_member Own;
   /// Whether this instance accepts callers.
   bool OwnIsReady = false;
-  bool OwnIsLeaving = false;
+  bool OwnIsShuttingDown = false;
   membership Membership;
   /// Draws the addresses of lookups.
   std::mt19937_64 Random;
@@ -62,7 +62,7 @@
                                       std::string_view Region);
 
 /// Returns a random other instance that is up; nullptr if none was found.
-const fleet_member *pickUpMember(fleet &Fleet);
+const fleet_member *pickRandomUpMember(fleet &Fleet);
 
 /// Returns the first \p Count instances that are up, ranked by rendezvous
 /// hashing of \p Hash, without this instance.
--- a/Libraries/Membership/membership.cpp
+++ b/Libraries/Membership/membership.cpp
@@ -31,7 +31,7 @@
     auto Previous = Membership.Members.find(Name);
     own_member Own;
     if (Previous != Membership.Members.end())
-      Own.Counter = Previous->second.Counter + 1;
+      Own.Incarnation = Previous->second.Incarnation + 1;
     Own.TransmissionsLeft = Membership.Policy.TransmissionsPerUpdate;
     Membership.Own.try_emplace(Name, Own);
     Membership.Members.erase(Name);
@@ -105,7 +105,7 @@
     if (Own.TransmissionsLeft <= 0)
       continue;
     --Own.TransmissionsLeft;
-    Updates.push_back({Name, member_status::Up, Own.Counter});
+    Updates.push_back({Name, member_status::Up, Own.Incarnation});
   }
   // Continues where the last message ended and visits each entry at most once:
   // starting at the first entry each time would delay the last of many updates
@@ -126,7 +126,8 @@
     }
     if (Member->second.TransmissionsLeft > 0) {
       --Member->second.TransmissionsLeft;
-      Updates.push_back({*Name, Member->second.Status, Member->second.Counter});
+      Updates.push_back(
+          {*Name, Member->second.Status, Member->second.Incarnation});
     }
     ++Name;
   }
@@ -148,8 +149,8 @@
   if (Own != Membership.Own.end()) {
     // Another instance suspects this member: a higher incarnation refutes it.
     if (Update.Status != member_status::Up &&
-        Update.Counter >= Own->second.Counter)
-      Own->second = {Update.Counter + 1,
+        Update.Incarnation >= Own->second.Incarnation)
+      Own->second = {Update.Incarnation + 1,
                      Membership.Policy.TransmissionsPerUpdate};
     return;
   }
@@ -157,12 +158,12 @@
   if (Found == Membership.Members.end())
     return;
   member_state &Member = Found->second;
-  const bool IsNewer =
-      Update.Counter > Member.Counter ||
-      (Update.Counter == Member.Counter && Update.Status > Member.Status);
+  const bool IsNewer = Update.Incarnation > Member.Incarnation ||
+                       (Update.Incarnation == Member.Incarnation &&
+                        Update.Status > Member.Status);
   if (!IsNewer)
     return;
-  Member.Counter = Update.Counter;
+  Member.Incarnation = Update.Incarnation;
   setStatus(Membership, Update.Name, Member, Update.Status,
             /*IsUnconfirmed=*/true, Now);
 }
@@ -176,7 +177,7 @@
       Found->second.Status == member_status::Up)
     return;
   // One higher than the suspicion, so that it wins everywhere.
-  ++Found->second.Counter;
+  ++Found->second.Incarnation;
   setStatus(Membership, Name, Found->second, member_status::Up,
             /*IsUnconfirmed=*/false, Now);
 }
@@ -185,7 +186,7 @@
                                  const std::string &From,
                                  const membership_message &Message,
                                  instant Now) {
-  for (const member_update &Update : Message.Beliefs)
+  for (const member_update &Update : Message.Updates)
     applyUpdate(Membership, Update, Now);
   switch (Message.Kind) {
   case kind::Ping:
@@ -195,7 +196,7 @@
       return {};
     return {makeMessage(Membership, From, kind::Ack, Message.Subject,
                         Message.OnBehalfOf)};
-  case kind::PingFor:
+  case kind::IndirectPing:
     return {makeMessage(Membership, Message.Subject, kind::Ping,
                         Message.Subject, From)};
   case kind::Ack:
@@ -250,7 +251,7 @@
 
 static void sendIndirectProbes(membership &Membership, messages &Messages) {
   for (const std::string &Helper : pickHelpers(Membership))
-    Messages.push_back(makeMessage(Membership, Helper, kind::PingFor,
+    Messages.push_back(makeMessage(Membership, Helper, kind::IndirectPing,
                                    Membership.Probe.Subject, {}));
 }
 
@@ -292,7 +293,7 @@
   // Carries no other updates: each update is sent a limited number of times,
   // and a dead member would use up those transmissions.
   return {Name,
-          {kind::Ping, Name, {}, {{Name, Member.Status, Member.Counter}}}};
+          {kind::Ping, Name, {}, {{Name, Member.Status, Member.Incarnation}}}};
 }
 
 static void recheckSuspected(membership &Membership, instant Now,
--- a/Libraries/Membership/membership.h
+++ b/Libraries/Membership/membership.h
@@ -37,19 +37,19 @@
 struct member_update {
   std::string Name;
   member_status Status = member_status::Up;
-  std::uint64_t Counter = 0;
+  std::uint64_t Incarnation = 0;
 };
 
 /// A probe, its ack, or a request to probe a third member.
 struct membership_message {
-  enum class kind : std::uint8_t { Ping, Ack, PingFor };
+  enum class kind : std::uint8_t { Ping, Ack, IndirectPing };
   kind Kind = kind::Ping;
   /// The member that is probed, or that an Ack is for.
   std::string Subject;
   /// The member that requested an indirect probe and gets its ack; empty in a
   /// direct probe.
   std::string OnBehalfOf;
-  std::vector<member_update> Beliefs;
+  std::vector<member_update> Updates;
 };
 
 /// To is a member; for responses it is the sender of the message.
@@ -83,7 +83,7 @@
 
 struct member_state {
   member_status Status = member_status::Up;
-  std::uint64_t Counter = 0;
+  std::uint64_t Incarnation = 0;
   instant SuspectSince{};
   /// Messages that will still carry this status.
   int TransmissionsLeft = 0;
@@ -99,7 +99,7 @@
 
 /// A member that this control responds for.
 struct own_member {
-  std::uint64_t Counter = 0;
+  std::uint64_t Incarnation = 0;
   int TransmissionsLeft = 0;
 };
 
--- a/Libraries/ObjectCache/object_cache.cpp
+++ b/Libraries/ObjectCache/object_cache.cpp
@@ -37,12 +37,12 @@
       Changes.Changes.push_back({Name, true, Changes.AtRevision, {}});
 }
 
-bool takeChanges(object_cache &Cache, kind_changes &Changes) {
+bool applyChanges(object_cache &Cache, kind_changes &Changes) {
   object_cache::kind_state &Kind =
       Cache.Kinds[static_cast<std::size_t>(Changes.Kind)];
-  if (Kind.HasState && Changes.AtRevision < Kind.AtRevision)
+  if (Kind.HasFullState && Changes.AtRevision < Kind.AtRevision)
     return false;
-  if (!Kind.HasState && !Changes.IsFull)
+  if (!Kind.HasFullState && !Changes.IsFull)
     return false;
   if (Changes.IsFull)
     addRemovals(Kind, Changes);
@@ -52,7 +52,7 @@
     applyChange(Kind, Change);
   }
   Kind.AtRevision = Changes.AtRevision;
-  Kind.HasState = true;
+  Kind.HasFullState = true;
   pruneTombstones(Kind);
   return true;
 }
@@ -85,7 +85,7 @@
   cache_changes Result;
   for (std::size_t Index = 0; Index < ObjectKinds; ++Index) {
     const auto &Kind = Cache.Kinds[Index];
-    if (Kind.HasState && Kind.AtRevision > Known[Index])
+    if (Kind.HasFullState && Kind.AtRevision > Known[Index])
       Result.Kinds.push_back(
           changesOf(Kind, static_cast<object_kind>(Index), Known[Index]));
   }
--- a/Libraries/ObjectCache/object_cache.h
+++ b/Libraries/ObjectCache/object_cache.h
@@ -53,7 +53,7 @@
   duration Age{};
   /// Whether the target list is complete, as far as the sender can tell:
   /// servers missing from it are removed.
-  bool ListIsSure = true;
+  bool ListIsComplete = true;
   std::vector<kind_changes> Kinds;
   /// Control addresses, `ip:port`, of instances to query instead while the
   /// sender serves no full snapshots.
@@ -73,7 +73,7 @@
     std::uint64_t PrunedUpTo = 0;
     std::size_t Tombstones = 0;
     /// Whether it has held the full state at least once.
-    bool HasState = false;
+    bool HasFullState = false;
   };
   std::array<kind_state, ObjectKinds> Kinds;
 };
@@ -82,7 +82,7 @@
 /// applies nothing if they would go back to an older revision of the store, or
 /// if they are incremental and there is no full state yet. \p Changes gains the
 /// removals that a full list implies.
-bool takeChanges(object_cache &Cache, kind_changes &Changes);
+bool applyChanges(object_cache &Cache, kind_changes &Changes);
 
 /// Revisions of the store that a state corresponds to, by kind; 0: none yet.
 using known_revisions = std::array<std::uint64_t, ObjectKinds>;
--- a/Libraries/PeerMessages/peer_messages.cpp
+++ b/Libraries/PeerMessages/peer_messages.cpp
@@ -55,12 +55,12 @@
   Root.setSubject(Datagram.Message.Subject);
   Root.setOnBehalfOf(Datagram.Message.OnBehalfOf);
   auto Beliefs =
-      Root.initBeliefs(static_cast<unsigned>(Datagram.Message.Beliefs.size()));
+      Root.initBeliefs(static_cast<unsigned>(Datagram.Message.Updates.size()));
   for (unsigned Index = 0; Index < Beliefs.size(); ++Index) {
-    const member_update &Update = Datagram.Message.Beliefs[Index];
+    const member_update &Update = Datagram.Message.Updates[Index];
     Beliefs[Index].setName(Update.Name);
     Beliefs[Index].setStatus(static_cast<std::uint8_t>(Update.Status));
-    Beliefs[Index].setCounter(Update.Counter);
+    Beliefs[Index].setCounter(Update.Incarnation);
   }
   writeCrashes(Root, Datagram.Crashes);
   return toBytes(Builder);
@@ -84,7 +84,7 @@
 static std::optional<peer_datagram> read(datagram::Datagram::Reader Root) {
   peer_datagram Datagram;
   const unsigned Kind = Root.getKind();
-  if (Kind > static_cast<unsigned>(membership_message::kind::PingFor))
+  if (Kind > static_cast<unsigned>(membership_message::kind::IndirectPing))
     return std::nullopt;
   Datagram.Sender = Root.getSender().cStr();
   Datagram.Control = Root.getControl().cStr();
@@ -95,7 +95,7 @@
     const unsigned Status = Belief.getStatus();
     if (Status > static_cast<unsigned>(member_status::Down))
       return std::nullopt;
-    Datagram.Message.Beliefs.push_back({Belief.getName().cStr(),
+    Datagram.Message.Updates.push_back({Belief.getName().cStr(),
                                         static_cast<member_status>(Status),
                                         Belief.getCounter()});
   }
@@ -135,7 +135,7 @@
 static std::optional<packed_changes> read(datagram::CacheChanges::Reader Root) {
   packed_changes Packed;
   Packed.Changes.Age = duration(Root.getAgeUs());
-  Packed.Changes.ListIsSure = Root.getListIsSure();
+  Packed.Changes.ListIsComplete = Root.getListIsSure();
   for (const auto Source : Root.getSources())
     Packed.Changes.Sources.emplace_back(Source.cStr());
   const auto Kinds = Root.getKinds().asChars();
@@ -238,7 +238,7 @@
   capnp::MallocMessageBuilder Builder;
   auto Root = Builder.initRoot<datagram::CacheChanges>();
   Root.setAgeUs(Changes.Age.count());
-  Root.setListIsSure(Changes.ListIsSure);
+  Root.setListIsSure(Changes.ListIsComplete);
   Root.setKinds(capnp::Data::Reader(
       reinterpret_cast<const kj::byte *>(Kinds.Bytes.data()),
       Kinds.Bytes.size()));
--- a/Libraries/Protocol/protocol.cpp
+++ b/Libraries/Protocol/protocol.cpp
@@ -178,7 +178,7 @@
       Keys[Place].setVersion(Message.Keys[Place].Version);
     }
   }
-  void operator()(const replica_want &Message) {
+  void operator()(const replica_request &Message) {
     auto Want = Builder.initWant(static_cast<unsigned>(Message.Keys.size()));
     for (unsigned Place = 0; Place < Want.size(); ++Place)
       Want.set(Place, Message.Keys[Place]);
@@ -216,13 +216,13 @@
   case wire::ReplicaMessage::KEYS:
     return readReplicaKeys(Reader.getKeys());
   case wire::ReplicaMessage::WANT: {
-    replica_want Message;
+    replica_request Message;
     for (const capnp::Text::Reader Key : Reader.getWant())
       Message.Keys.push_back(toString(Key));
     return Message;
   }
   }
-  return replica_want{};
+  return replica_request{};
 }
 
 void writeMembershipMessage(const membership_message &Message,
@@ -231,12 +231,12 @@
   Builder.setSubject(Message.Subject);
   Builder.setOnBehalfOf(Message.OnBehalfOf);
   auto Beliefs =
-      Builder.initBeliefs(static_cast<unsigned>(Message.Beliefs.size()));
+      Builder.initBeliefs(static_cast<unsigned>(Message.Updates.size()));
   for (unsigned Place = 0; Place < Beliefs.size(); ++Place) {
-    Beliefs[Place].setName(Message.Beliefs[Place].Name);
+    Beliefs[Place].setName(Message.Updates[Place].Name);
     Beliefs[Place].setStatus(
-        static_cast<std::uint8_t>(Message.Beliefs[Place].Status));
-    Beliefs[Place].setCounter(Message.Beliefs[Place].Counter);
+        static_cast<std::uint8_t>(Message.Updates[Place].Status));
+    Beliefs[Place].setCounter(Message.Updates[Place].Incarnation);
   }
 }
 
@@ -247,7 +247,7 @@
   Message.Subject = toString(Reader.getSubject());
   Message.OnBehalfOf = toString(Reader.getOnBehalfOf());
   for (const wire::Belief::Reader Belief : Reader.getBeliefs())
-    Message.Beliefs.push_back({toString(Belief.getName()),
+    Message.Updates.push_back({toString(Belief.getName()),
                                static_cast<member_status>(Belief.getStatus()),
                                Belief.getCounter()});
   return Message;
--- a/Libraries/Replica/replica.cpp
+++ b/Libraries/Replica/replica.cpp
@@ -128,7 +128,7 @@
     if (Their == Theirs.end() || Their->second < Item.Version)
       Newer.push_back(Item);
   }
-  replica_want Request;
+  replica_request Request;
   for (const auto &[Key, Version] : Theirs) {
     auto Held = Replica.Items.find(Key);
     if (Held == Replica.Items.end() || Held->second.Version < Version)
@@ -142,7 +142,7 @@
 }
 
 static messages sendRequested(const replica &Replica, const std::string &From,
-                              const replica_want &Message) {
+                              const replica_request &Message) {
   std::vector<item> Items;
   for (const std::string &Key : Message.Keys) {
     auto Held = Replica.Items.find(Key);
@@ -177,7 +177,7 @@
   messages operator()(const replica_keys &Message) const {
     return compareKeys(Replica, From, Message);
   }
-  messages operator()(const replica_want &Message) const {
+  messages operator()(const replica_request &Message) const {
     return sendRequested(Replica, From, Message);
   }
 };
--- a/Libraries/Replica/replica.h
+++ b/Libraries/Replica/replica.h
@@ -64,13 +64,13 @@
 };
 
 /// Requests the items that the sender lacks or holds in older versions.
-struct replica_want {
+struct replica_request {
   std::vector<std::string> Keys;
 };
 
 using replica_message =
     std::variant<replica_items, replica_root, replica_buckets, replica_keys,
-                 replica_want>;
+                 replica_request>;
 
 /// A message and the peer it is sent to.
 struct outgoing_replica_message {
--- a/Libraries/StateSpread/bootstrap.cpp
+++ b/Libraries/StateSpread/bootstrap.cpp
@@ -33,15 +33,15 @@
 /// Bound on the remembered sources; the latest ones are kept.
 static constexpr std::size_t MaxAnnouncedSources = 8;
 
-static duration drawDelay(const learning &Bootstrap, std::mt19937_64 &Random) {
+static duration drawDelay(const bootstrap &Bootstrap, std::mt19937_64 &Random) {
   const double Draw = std::uniform_real_distribution<double>()(Random);
   const double Fraction = std::max(1 + std::log2(Draw) / DelayDoublings, 0.0);
   return std::chrono::duration_cast<duration>(Fraction * Bootstrap.MaxDelay);
 }
 
-learning startLearning(const bootstrap_options &Options, instant Now) {
+bootstrap startBootstrap(const bootstrap_options &Options, instant Now) {
   std::mt19937_64 Random(Options.Seed);
-  learning Bootstrap;
+  bootstrap Bootstrap;
   for (const std::string &Seed : Options.Seeds)
     if (Seed != Options.OwnControl)
       Bootstrap.Seeds.push_back(Seed);
@@ -51,14 +51,14 @@
   Bootstrap.MaxDelay = std::chrono::duration<double>(
       MaxDelayFactor * MaxSnapshotMegabits / std::max(Options.LinkMbps, 1.0));
   Bootstrap.NextSeedAt = Now;
-  Bootstrap.AskStoreAt = Now;
+  Bootstrap.ListStoreAt = Now;
   // Without other seeds no peer is known at the start.
   if (!IsSeed && !Bootstrap.Seeds.empty())
-    Bootstrap.AskStoreAt += drawDelay(Bootstrap, Random);
+    Bootstrap.ListStoreAt += drawDelay(Bootstrap, Random);
   return Bootstrap;
 }
 
-void hearOfSource(learning &Bootstrap, const std::string &Control) {
+void addSource(bootstrap &Bootstrap, const std::string &Control) {
   if (Control.empty())
     return;
   std::erase(Bootstrap.AnnouncedSources, Control);
@@ -67,7 +67,7 @@
     Bootstrap.AnnouncedSources.erase(Bootstrap.AnnouncedSources.begin());
 }
 
-std::optional<std::string> takeHeard(learning &Bootstrap) {
+std::optional<std::string> popSource(bootstrap &Bootstrap) {
   if (Bootstrap.AnnouncedSources.empty())
     return std::nullopt;
   std::string Control = std::move(Bootstrap.AnnouncedSources.back());
@@ -75,23 +75,23 @@
   return Control;
 }
 
-std::optional<std::string> takeSeed(learning &Bootstrap, instant Now) {
+std::optional<std::string> nextSeed(bootstrap &Bootstrap, instant Now) {
   if (Bootstrap.Seeds.empty() || Now < Bootstrap.NextSeedAt)
     return std::nullopt;
   Bootstrap.NextSeedAt = Now + SeedQueryInterval;
   return Bootstrap.Seeds[Bootstrap.NextSeed++ % Bootstrap.Seeds.size()];
 }
 
-void noteSignOfLife(learning &Bootstrap, instant Now) {
+void postponeStoreList(bootstrap &Bootstrap, instant Now) {
   const instant Latest = Bootstrap.StartedAt + MaxTotalDelay;
   const auto Pause = std::chrono::duration_cast<duration>(PostponeFraction *
                                                           Bootstrap.MaxDelay);
-  Bootstrap.AskStoreAt =
-      std::max(Bootstrap.AskStoreAt, std::min(Now + Pause, Latest));
+  Bootstrap.ListStoreAt =
+      std::max(Bootstrap.ListStoreAt, std::min(Now + Pause, Latest));
 }
 
-bool mayAskStore(const learning &Bootstrap, instant Now) {
-  return Now >= Bootstrap.AskStoreAt;
+bool mayListStore(const bootstrap &Bootstrap, instant Now) {
+  return Now >= Bootstrap.ListStoreAt;
 }
 
 } // namespace amaranthhoist
--- a/Libraries/StateSpread/bootstrap.h
+++ b/Libraries/StateSpread/bootstrap.h
@@ -34,7 +34,7 @@
   std::uint64_t Seed = 0;
 };
 
-struct learning {
+struct bootstrap {
   /// The seeds without this instance, in an order specific to this instance.
   std::vector<std::string> Seeds;
   std::size_t NextSeed = 0;
@@ -46,29 +46,29 @@
   /// Upper bound of the initial delay before the store is listed.
   std::chrono::duration<double> MaxDelay{};
   /// Time from which the store is listed directly.
-  instant AskStoreAt{};
+  instant ListStoreAt{};
 };
 
-learning startLearning(const bootstrap_options &Options, instant Now);
+bootstrap startBootstrap(const bootstrap_options &Options, instant Now);
 
 /// Adds \p Control, which announced itself as a source of the state or was
 /// named by another instance.
-void hearOfSource(learning &Bootstrap, const std::string &Control);
+void addSource(bootstrap &Bootstrap, const std::string &Control);
 
 /// Removes and returns the latest announced source; none if all of them have
 /// been queried.
-std::optional<std::string> takeHeard(learning &Bootstrap);
+std::optional<std::string> popSource(bootstrap &Bootstrap);
 
 /// Returns the next seed to query, if the interval between seed queries has
 /// passed.
-std::optional<std::string> takeSeed(learning &Bootstrap, instant Now);
+std::optional<std::string> nextSeed(bootstrap &Bootstrap, instant Now);
 
 /// Postpones the listing of the store after a peer responded that it is
 /// bootstrapping itself or too busy: the state will arrive from peers. Must not
 /// be called for an instance that lists the store already.
-void noteSignOfLife(learning &Bootstrap, instant Now);
+void postponeStoreList(bootstrap &Bootstrap, instant Now);
 
 /// Returns whether the delay before listing the store has passed.
-bool mayAskStore(const learning &Bootstrap, instant Now);
+bool mayListStore(const bootstrap &Bootstrap, instant Now);
 
 } // namespace amaranthhoist
--- a/Libraries/StateSpread/snapshot_throttle.cpp
+++ b/Libraries/StateSpread/snapshot_throttle.cpp
@@ -24,15 +24,15 @@
 static constexpr std::size_t NotifiedPerOtherDomain = 2;
 static constexpr double BytesPerMegabit = 125'000;
 
-hand_out makeHandOut(double LinkMbps, instant Now) {
-  hand_out Throttle;
+snapshot_throttle makeSnapshotThrottle(double LinkMbps, instant Now) {
+  snapshot_throttle Throttle;
   Throttle.BytesPerSecond = LinkShare * LinkMbps * BytesPerMegabit;
   Throttle.Allowance = BurstSeconds * Throttle.BytesPerSecond;
   Throttle.RefilledAt = Now;
   return Throttle;
 }
 
-static void refill(hand_out &Throttle, instant Now) {
+static void refill(snapshot_throttle &Throttle, instant Now) {
   const std::chrono::duration<double> Passed = Now - Throttle.RefilledAt;
   Throttle.RefilledAt = Now;
   Throttle.Allowance =
@@ -40,9 +40,9 @@
                BurstSeconds * Throttle.BytesPerSecond);
 }
 
-static void addBounded(std::vector<new_instance> &Instances,
-                       const new_instance &Requester) {
-  std::erase_if(Instances, [&](const new_instance &Entry) {
+static void addBounded(std::vector<snapshot_requester> &Instances,
+                       const snapshot_requester &Requester) {
+  std::erase_if(Instances, [&](const snapshot_requester &Entry) {
     return Entry.Control == Requester.Control;
   });
   Instances.push_back(Requester);
@@ -50,8 +50,9 @@
     Instances.erase(Instances.begin());
 }
 
-bool mayHandOut(hand_out &Throttle, const new_instance &Requester,
-                std::size_t Bytes, instant Now) {
+bool mayServeSnapshot(snapshot_throttle &Throttle,
+                      const snapshot_requester &Requester, std::size_t Bytes,
+                      instant Now) {
   refill(Throttle, Now);
   // A snapshot larger than the maximum allowance is sent as well, but not
   // directly after another one.
@@ -63,47 +64,49 @@
   return true;
 }
 
-static int proximity(const new_instance &Served,
-                     const new_instance &Requester) {
+static int proximity(const snapshot_requester &Served,
+                     const snapshot_requester &Requester) {
   if (Served.FailureDomain == Requester.FailureDomain)
     return 2;
   return Served.Region == Requester.Region ? 1 : 0;
 }
 
-std::vector<std::string> referralsFor(const hand_out &Throttle,
-                                      const new_instance &Requester) {
-  std::vector<const new_instance *> Others;
-  for (const new_instance &Served : Throttle.Served)
+std::vector<std::string> referralsFor(const snapshot_throttle &Throttle,
+                                      const snapshot_requester &Requester) {
+  std::vector<const snapshot_requester *> Others;
+  for (const snapshot_requester &Served : Throttle.Served)
     if (Served.Control != Requester.Control)
       Others.push_back(&Served);
   // The order differs from requester to requester, which spreads them over the
   // instances.
   const std::uint64_t Salt = stableHash(Requester.Control);
-  std::sort(Others.begin(), Others.end(),
-            [&](const new_instance *Left, const new_instance *Right) {
-              const int LeftProximity = proximity(*Left, Requester);
-              const int RightProximity = proximity(*Right, Requester);
-              if (LeftProximity != RightProximity)
-                return LeftProximity > RightProximity;
-              return stableHash(Left->Control, Salt) <
-                     stableHash(Right->Control, Salt);
-            });
+  std::sort(
+      Others.begin(), Others.end(),
+      [&](const snapshot_requester *Left, const snapshot_requester *Right) {
+        const int LeftProximity = proximity(*Left, Requester);
+        const int RightProximity = proximity(*Right, Requester);
+        if (LeftProximity != RightProximity)
+          return LeftProximity > RightProximity;
+        return stableHash(Left->Control, Salt) <
+               stableHash(Right->Control, Salt);
+      });
   if (Others.size() > MaxReferrals)
     Others.resize(MaxReferrals);
   std::vector<std::string> Addresses;
   Addresses.reserve(Others.size());
-  for (const new_instance *Other : Others)
+  for (const snapshot_requester *Other : Others)
     Addresses.push_back(Other->Control);
   return Addresses;
 }
 
-void noteWaiting(hand_out &Throttle, const new_instance &Requester) {
+void recordWaiting(snapshot_throttle &Throttle,
+                   const snapshot_requester &Requester) {
   if (!Requester.Peer.empty())
     addBounded(Throttle.Waiting, Requester);
 }
 
-duration timeToHandOut(const hand_out &Throttle, std::size_t Snapshots,
-                       std::size_t Bytes) {
+duration snapshotSendTime(const snapshot_throttle &Throttle,
+                          std::size_t Snapshots, std::size_t Bytes) {
   const double Total =
       static_cast<double>(Snapshots) * static_cast<double>(Bytes);
   const double Remaining = std::max(Total - Throttle.Allowance, 0.0);
@@ -111,7 +114,7 @@
       std::chrono::duration<double>(Remaining / Throttle.BytesPerSecond));
 }
 
-std::vector<std::string> membersToTell(const fleet &Fleet, bool FromStore) {
+std::vector<std::string> membersToNotify(const fleet &Fleet, bool FromStore) {
   std::map<std::string, std::vector<const fleet_member *>> ByDomain;
   for (const auto &[Name, Member] : Fleet.Members)
     ByDomain[Member.FailureDomain].push_back(&Member);
--- a/Libraries/StateSpread/spread_tree.cpp
+++ b/Libraries/StateSpread/spread_tree.cpp
@@ -24,7 +24,7 @@
 template <typename Predicate>
 static members rankedUpMembers(const fleet &Fleet, Predicate Matches) {
   members Members;
-  if (!Fleet.OwnIsLeaving && Matches(Fleet.Own))
+  if (!Fleet.OwnIsShuttingDown && Matches(Fleet.Own))
     Members.push_back(&Fleet.Own);
   for (const auto &[Name, Member] : Fleet.Members)
     if (Matches(Member) && isUp(Fleet.Membership, Name))
@@ -113,7 +113,7 @@
   std::rotate(Members.begin(), Members.begin() + First, Members.end());
 }
 
-members regularSources(const fleet &Fleet) {
+members primarySources(const fleet &Fleet) {
   members Sources = relaysOf(Fleet, watcherRanking(Fleet));
   if (Sources.empty() || contains(Sources, &Fleet.Own))
     Sources = watchers(Fleet);
@@ -135,8 +135,8 @@
   return Watchers;
 }
 
-members sourcesInOrder(const fleet &Fleet, bool IsDisconnected) {
-  members Sources = IsDisconnected ? members() : regularSources(Fleet);
+members orderedSources(const fleet &Fleet, bool IsDisconnected) {
+  members Sources = IsDisconnected ? members() : primarySources(Fleet);
   for (const fleet_member *Watcher : watchersInOtherRegions(Fleet))
     Sources.push_back(Watcher);
   members Others;
--- a/Libraries/StateSpread/spread_tree.h
+++ b/Libraries/StateSpread/spread_tree.h
@@ -34,13 +34,13 @@
 std::optional<std::size_t> ownRank(const fleet &Fleet);
 
 /// Role of an instance in the distribution tree.
-enum class spread_role : std::uint8_t { Watcher, Relay, Leaf };
+enum class distribution_role : std::uint8_t { Watcher, Relay, Leaf };
 spread_role ownRole(const fleet &Fleet);
 
 /// Returns the instances to poll for changes, in an order specific to this
 /// instance: the relays of its failure domain, or the region's watchers. Empty
 /// if there is none besides this instance.
-std::vector<const fleet_member *> regularSources(const fleet &Fleet);
+std::vector<const fleet_member *> primarySources(const fleet &Fleet);
 
 /// Returns all instances to poll, in the order in which they are tried until
 /// one has fresh state: the primary sources, the watchers of other regions,
@@ -48,7 +48,7 @@
 /// other instances that are up. If this instance \p IsDisconnected, that is its
 /// own calls to the store fail, the primary sources are left out: they would
 /// poll this instance, or are disconnected as well.
-std::vector<const fleet_member *> sourcesInOrder(const fleet &Fleet,
+std::vector<const fleet_member *> orderedSources(const fleet &Fleet,
                                                  bool IsDisconnected);
 
 } // namespace amaranthhoist
--- a/Libraries/StateSpread/watch_duty.cpp
+++ b/Libraries/StateSpread/watch_duty.cpp
@@ -37,7 +37,7 @@
 /// instance does.
 static constexpr duration BootstrapWatchTime = std::chrono::seconds(3);
 
-static bool isWatcher(const duty_view &Inputs) {
+static bool isWatcher(const watch_inputs &Inputs) {
   if (Inputs.IsWatching && Inputs.SinceBootstrap < BootstrapWatchTime)
     return true;
   const bool IsRanked = Inputs.Rank && *Inputs.Rank < WatchersPerRegion;
@@ -58,7 +58,8 @@
                   MaxStoreWatchers);
 }
 
-bool isOnDuty(store_duty &Duty, const duty_view &Inputs, instant Now) {
+bool shouldWatchStore(watch_duty &Duty, const watch_inputs &Inputs,
+                      instant Now) {
   if (isWatcher(Inputs)) {
     Duty.Until = std::max(Duty.Until, Now + HandbackDelay);
     return true;
--- a/Libraries/StateSpread/watch_duty.h
+++ b/Libraries/StateSpread/watch_duty.h
@@ -20,12 +20,12 @@
 /// Age from which state is stale for other instances: two polls along the
 /// longest way from a watcher, a trip between regions, and a third as much
 /// again.
-inline constexpr duration OldState = std::chrono::milliseconds(1'000);
+inline constexpr duration StaleStateAge = std::chrono::milliseconds(1'000);
 /// Upper bound of the instances of one region that watch the store at a time.
 inline constexpr std::size_t MaxStoreWatchers = 8;
 
 /// Inputs of the decision.
-struct duty_view {
+struct watch_inputs {
   /// Rank among the region's instances by preference; none while shutting down.
   std::optional<std::size_t> Rank;
   /// Age of this instance's state.
@@ -41,12 +41,13 @@
   bool WasListed = false;
 };
 
-struct store_duty {
+struct watch_duty {
   /// An instance that took over for others watches at least until then.
   instant Until{};
 };
 
 /// Returns whether to watch the store until the next decision.
-bool isOnDuty(store_duty &Duty, const duty_view &Inputs, instant Now);
+bool shouldWatchStore(watch_duty &Duty, const watch_inputs &Inputs,
+                      instant Now);
 
 } // namespace amaranthhoist
--- a/Libraries/StoreClient/list_watch.cpp
+++ b/Libraries/StoreClient/list_watch.cpp
@@ -7,10 +7,10 @@
 namespace amaranthhoist {
 
 store_request nextRequest(const list_watch &Watch) {
-  return {Watch.Next, Watch.After, Watch.Revision, Watch.MayBeStale};
+  return {Watch.Next, Watch.After, Watch.Revision, Watch.AllowStale};
 }
 
-std::vector<stored_object> *takePage(list_watch &Watch, list_page Page) {
+std::vector<stored_object> *handlePage(list_watch &Watch, list_page Page) {
   Watch.ConsecutiveFailures = 0;
   if (Watch.After.empty()) {
     Watch.Pages.clear();
@@ -28,29 +28,29 @@
   Watch.After.clear();
   Watch.Next = store_verb::Watch;
   Watch.Revision = Watch.MinRevision;
-  Watch.MayBeStale = false;
+  Watch.AllowStale = false;
   return &Watch.Pages;
 }
 
-duration takeBatch(list_watch &Watch, const change_batch &Batch) {
+duration handleBatch(list_watch &Watch, const change_batch &Batch) {
   Watch.ConsecutiveFailures = 0;
   Watch.Revision = std::max(Watch.Revision, Batch.AtRevision);
   return Batch.Changes.empty() ? duration::zero() : Watch.Delays.AfterChanges;
 }
 
-void listAnew(list_watch &Watch) {
+void restartList(list_watch &Watch) {
   Watch.Next = store_verb::List;
   Watch.After.clear();
-  Watch.MayBeStale = false;
+  Watch.AllowStale = false;
 }
 
-duration takeFailure(list_watch &Watch, store_failure Failure) {
-  if (Failure == store_failure::HistoryGone) {
-    listAnew(Watch);
+duration handleFailure(list_watch &Watch, store_failure Failure) {
+  if (Failure == store_failure::HistoryExpired) {
+    restartList(Watch);
     return duration::zero();
   }
-  if (Failure == store_failure::Silent)
-    listAnew(Watch);
+  if (Failure == store_failure::NoResponse)
+    restartList(Watch);
   // Enough doublings to reach the longest delay from the first one.
   constexpr int MaxDoublings = 8;
   const int Doublings = std::min(Watch.ConsecutiveFailures, MaxDoublings);
--- a/Libraries/StoreClient/list_watch.h
+++ b/Libraries/StoreClient/list_watch.h
@@ -46,11 +46,11 @@
   /// The store refuses the call or is overloaded: 429, 503.
   Refused,
   /// No connection, a reset, or no response within the timeout.
-  Silent,
+  NoResponse,
   /// The watched history has expired.
-  HistoryGone,
+  HistoryExpired,
   /// A malformed response.
-  Garbled,
+  Malformed,
 };
 
 enum class store_verb : std::uint8_t { List, Watch };
@@ -64,7 +64,7 @@
   std::uint64_t Revision = 0;
   /// List: the response may be some seconds stale, which costs the store a
   /// tenth of the work. Later changes arrive by the watch or from peers.
-  bool MayBeStale = false;
+  bool AllowStale = false;
 };
 
 /// Delays between calls. All are short enough that a change arrives well before
@@ -90,7 +90,7 @@
   std::uint64_t MinRevision = 0;
   /// True until the first list is complete: before that this instance holds no
   /// newer state that a stale list could revert.
-  bool MayBeStale = true;
+  bool AllowStale = true;
   int ConsecutiveFailures = 0;
 };
 
@@ -98,17 +98,17 @@
 
 /// Handles a page. Returns all objects once the list is complete, nullptr
 /// before. They correspond to the revision Watch.Revision.
-std::vector<stored_object> *takePage(list_watch &Watch, list_page Page);
+std::vector<stored_object> *handlePage(list_watch &Watch, list_page Page);
 
 /// Handles changes; returns the delay before the next call.
-duration takeBatch(list_watch &Watch, const change_batch &Batch);
+duration handleBatch(list_watch &Watch, const change_batch &Batch);
 
 /// Makes the next call a list. A watch that ended without a response may have
 /// missed changes, and a new watch from its revision may wait until its own
 /// timeout before the store reports that the history has expired.
-void listAnew(list_watch &Watch);
+void restartList(list_watch &Watch);
 
 /// Handles a failure; returns the delay before the next call.
-duration takeFailure(list_watch &Watch, store_failure Failure);
+duration handleFailure(list_watch &Watch, store_failure Failure);
 
 } // namespace amaranthhoist
--- a/Services/Node/kind_follower.cpp
+++ b/Services/Node/kind_follower.cpp
@@ -29,7 +29,7 @@
 void kind_follower::startOrRestart() {
   if (IsRunning) {
     if (Connection.abandon()) {
-      listAnew(Watch);
+      restartList(Watch);
       step();
     }
     return;
@@ -39,9 +39,9 @@
   // again.
   const auto &Known = State.cache().Kinds[static_cast<std::size_t>(Kind)];
   if (MustList) {
-    listAnew(Watch);
+    restartList(Watch);
     MustList = false;
-  } else if (Known.HasState && Known.AtRevision > Watch.Revision) {
+  } else if (Known.HasFullState && Known.AtRevision > Watch.Revision) {
     Watch.Revision = Known.AtRevision;
     Watch.Next = store_verb::Watch;
   }
@@ -82,17 +82,17 @@
 void kind_follower::handleResponse(const store_response &Response,
                                    bool IsWatch) {
   if (Response.Status == 410)
-    return retry(store_failure::HistoryGone);
+    return retry(store_failure::HistoryExpired);
   if (Response.Status == 429 || Response.Status == 503)
     return retry(store_failure::Refused);
   if (Response.Status == 0)
-    return retry(store_failure::Silent);
+    return retry(store_failure::NoResponse);
   if (Response.Status != 200)
-    return retry(store_failure::Garbled);
+    return retry(store_failure::Malformed);
   const bool IsSound =
       IsWatch ? handleBatch(Response.Body) : handlePage(Response.Body);
   if (!IsSound)
-    return retry(store_failure::Garbled);
+    return retry(store_failure::Malformed);
   onStoreResponse();
   stepAfter(NextDelay);
 }
@@ -102,7 +102,7 @@
   if (!Page)
     return false;
   NextDelay = DelayAfterList;
-  auto *All = takePage(Watch, std::move(*Page));
+  auto *All = handlePage(Watch, std::move(*Page));
   if (!All)
     return true;
   kind_changes Changes{Kind, Watch.Revision, /*IsFull=*/true, {}};
@@ -118,7 +118,7 @@
   auto Batch = platform::decodeBatch(Body);
   if (!Batch)
     return false;
-  NextDelay = takeBatch(Watch, *Batch);
+  NextDelay = handleBatch(Watch, *Batch);
   kind_changes Changes{Kind, Watch.Revision, /*IsFull=*/false, {}};
   for (stored_change &Change : Batch->Changes)
     Changes.Changes.push_back(
@@ -137,8 +137,8 @@
 }
 
 void kind_follower::retry(store_failure Failure) {
-  const duration Delay = takeFailure(Watch, Failure);
-  if (Failure != store_failure::HistoryGone) {
+  const duration Delay = handleFailure(Watch, Failure);
+  if (Failure != store_failure::HistoryExpired) {
     if (!IsStoreLost)
       Node.Log.write(log_kind::Belief, "store_lost",
                      {{"kind", platform::encodeKind(Kind)},
--- a/Services/Node/main.cpp
+++ b/Services/Node/main.cpp
@@ -191,7 +191,7 @@
     if (Node.IsShuttingDown)
       return;
     Node.IsShuttingDown = true;
-    Node.Fleet.OwnIsLeaving = true;
+    Node.Fleet.OwnIsShuttingDown = true;
     ShutdownStartedAt = Node.Loop.now();
     const duration Grace = Node.Settings.Bounds.GracePeriod;
     // A request accepted later could be cut off by the end of the process.
--- a/Services/Node/peer_link.cpp
+++ b/Services/Node/peer_link.cpp
@@ -139,7 +139,7 @@
   for (int Receiver = 0; Receiver < ReceiversPerTick; ++Receiver) {
     auto News = collectAnnouncements(Node.Steering.Quarantine, Now);
     const fleet_member *Member =
-        News.empty() ? nullptr : pickUpMember(Node.Fleet);
+        News.empty() ? nullptr : pickRandomUpMember(Node.Fleet);
     if (!Member)
       return;
     sendCrashes(std::move(News), *Member);
@@ -177,8 +177,8 @@
   // everywhere.
   membership_message Message;
   Message.Kind = membership_message::kind::Ack;
-  Message.Beliefs.push_back(
-      {Node.Settings.Instance, member_status::Down, Own->second.Counter + 1});
+  Message.Updates.push_back({Node.Settings.Instance, member_status::Down,
+                             Own->second.Incarnation + 1});
   for (const auto &[Name, Member] : Node.Fleet.Members)
     if (auto To = parseEndpoint(Member.Peer))
       send(Message, *To);
--- a/Services/Node/relay_link.cpp
+++ b/Services/Node/relay_link.cpp
@@ -49,10 +49,10 @@
 /// Uses the seeds as sources while no instance is listed, as at the very first
 /// start.
 void relay_link::chooseSource() {
-  auto Sources = regularSources(Node.Fleet);
+  auto Sources = primarySources(Node.Fleet);
   // Computing the whole order visits all instances.
   if (IsDisconnectedFromStore || FailedSources >= Sources.size())
-    Sources = sourcesInOrder(Node.Fleet, IsDisconnectedFromStore);
+    Sources = orderedSources(Node.Fleet, IsDisconnectedFromStore);
   if (!Sources.empty()) {
     const fleet_member &Source = *Sources[FailedSources % Sources.size()];
     setSource(Source.Name, Source.Control);
@@ -108,20 +108,20 @@
                                         : std::optional<cache_changes>();
   if (Changes)
     RespondedAt = Node.Loop.now();
-  if (!Changes || Changes->Age > OldState) {
+  if (!Changes || Changes->Age > StaleStateAge) {
     if (++FailedSources <= MaxQuickRetries)
       pollSoon();
     return;
   }
   // While polling a source that isn't a regular one, periodically tries to
   // return to the regular ones.
-  const bool IsRegular = FailedSources < regularSources(Node.Fleet).size() ||
+  const bool IsRegular = FailedSources < primarySources(Node.Fleet).size() ||
                          IsDisconnectedFromStore;
   if (!IsRegular && ++FallbackResponses >= ResponsesBeforeReturn) {
     FailedSources = 0;
     FallbackResponses = 0;
   }
-  State.onPeerListState(Changes->ListIsSure);
+  State.onPeerListState(Changes->ListIsComplete);
   FreshAt = Node.Loop.now() - Changes->Age;
   for (kind_changes &Kind : Changes->Kinds)
     State.update(std::move(Kind));
--- a/Services/Node/replicated_state.cpp
+++ b/Services/Node/replicated_state.cpp
@@ -57,7 +57,7 @@
 
 void replicated_state::update(kind_changes Changes) {
   const bool IsFull = Changes.IsFull;
-  if (!takeChanges(Cache, Changes))
+  if (!applyChanges(Cache, Changes))
     return;
   for (const object_change &Change : Changes.Changes)
     apply(Changes.Kind, Change);
--- a/Services/Node/state_bootstrap.cpp
+++ b/Services/Node/state_bootstrap.cpp
@@ -21,20 +21,20 @@
       SeedConnection(Node, {}) {}
 
 void state_bootstrap::start() {
-  Learning = startLearning({Node.Settings.Listen.Control, Node.Settings.Seeds,
-                            Node.Settings.LinkMbps,
-                            stableHash(Node.Settings.Instance)},
-                           Node.Loop.now());
+  Learning = startBootstrap({Node.Settings.Listen.Control, Node.Settings.Seeds,
+                             Node.Settings.LinkMbps,
+                             stableHash(Node.Settings.Instance)},
+                            Node.Loop.now());
   tick();
 }
 
 void state_bootstrap::onSourceAnnounced(const std::string &Control) {
   if (!State.hasFullState() && Control != Node.Settings.Listen.Control)
-    hearOfSource(Learning, Control);
+    addSource(Learning, Control);
 }
 
 bool state_bootstrap::mayAskStore() const {
-  return amaranthhoist::mayAskStore(Learning, Node.Loop.now());
+  return amaranthhoist::mayListStore(Learning, Node.Loop.now());
 }
 
 void state_bootstrap::tick() {
@@ -45,10 +45,10 @@
     return;
   }
   if (!AnnouncedConnection.isBusy())
-    if (const auto Control = takeHeard(Learning))
+    if (const auto Control = popSource(Learning))
       requestState(AnnouncedConnection, *Control);
   if (!SeedConnection.isBusy())
-    if (const auto Control = takeSeed(Learning, Node.Loop.now()))
+    if (const auto Control = nextSeed(Learning, Node.Loop.now()))
       requestState(SeedConnection, *Control);
   NextTick = Node.Loop.after(TickPeriod, [this] { tick(); });
 }
@@ -77,12 +77,12 @@
     onSourceAnnounced(Other);
   if (Response.Status != 200) {
     if (!mayAskStore())
-      noteSignOfLife(Learning, Node.Loop.now());
+      postponeStoreList(Learning, Node.Loop.now());
     return;
   }
   Source = Control;
   FreshAt = Node.Loop.now() - Changes->Age;
-  State.onPeerListState(Changes->ListIsSure);
+  State.onPeerListState(Changes->ListIsComplete);
   for (kind_changes &Kind : Changes->Kinds)
     State.update(std::move(Kind));
 }
--- a/Services/Node/state_bootstrap.h
+++ b/Services/Node/state_bootstrap.h
@@ -23,7 +23,7 @@
   /// Returns whether the store itself may be asked.
   [[nodiscard]] bool mayAskStore() const;
   /// Currently estimated time from which the store may be asked.
-  [[nodiscard]] instant storeFallbackAt() const { return Learning.AskStoreAt; }
+  [[nodiscard]] instant storeFallbackAt() const { return Learning.ListStoreAt; }
   /// Time at which the state was fresh at the store, if it came from a peer.
   [[nodiscard]] instant freshAt() const { return FreshAt; }
   /// Control address of the peer that served the state; empty if none did.
@@ -37,7 +37,7 @@
 
   node &Node;
   replicated_state &State;
-  learning Learning;
+  bootstrap Learning;
   /// Separate from the seeds' connection, so that announced sources don't wait
   /// for an unresponsive seed.
   store_connection AnnouncedConnection;
--- a/Services/Node/state_server.cpp
+++ b/Services/Node/state_server.cpp
@@ -36,12 +36,12 @@
 state_server::state_server(node &Node, const replicated_state &State,
                            std::function<duration()> StateAge)
     : Node(Node), State(State), StateAge(std::move(StateAge)),
-      HandOut(makeHandOut(Node.Settings.LinkMbps, Node.Loop.now())) {}
+      HandOut(makeSnapshotThrottle(Node.Settings.LinkMbps, Node.Loop.now())) {}
 
 cache_changes state_server::responseHead() const {
   cache_changes Head;
   Head.Age = StateAge();
-  Head.ListIsSure = State.isTargetListComplete();
+  Head.ListIsComplete = State.isTargetListComplete();
   return Head;
 }
 
@@ -67,16 +67,16 @@
 }
 
 small_answer state_server::serveNewInstance(std::string_view Query) {
-  const new_instance Asker{
+  const snapshot_requester Asker{
       queryValue(Query, "domain"), queryValue(Query, "region"),
       queryValue(Query, "control"), queryValue(Query, "peer")};
   cache_changes Head = responseHead();
   if (!State.hasFullState()) {
-    noteWaiting(HandOut, Asker);
+    recordWaiting(HandOut, Asker);
     return {StatusUnavailable, ContentType, encodeChanges(Head, {})};
   }
   const packed_kinds &Kinds = fullSnapshot();
-  if (!mayHandOut(HandOut, Asker, Kinds.Bytes.size(), Node.Loop.now())) {
+  if (!mayServeSnapshot(HandOut, Asker, Kinds.Bytes.size(), Node.Loop.now())) {
     Head.Sources = referralsFor(HandOut, Asker);
     Node.Metrics.count("amaranthhoist_whole_lists_referred_total");
     return {StatusUnavailable, ContentType, encodeChanges(Head, {})};
@@ -86,13 +86,13 @@
 }
 
 duration state_server::timeToHandOut(std::size_t Lists) {
-  return amaranthhoist::timeToHandOut(HandOut, Lists,
-                                      fullSnapshot().Bytes.size());
+  return amaranthhoist::snapshotSendTime(HandOut, Lists,
+                                         fullSnapshot().Bytes.size());
 }
 
 std::vector<std::string> state_server::popWaiting() {
   std::vector<std::string> Addresses;
-  for (const new_instance &Waiting : HandOut.Waiting)
+  for (const snapshot_requester &Waiting : HandOut.Waiting)
     Addresses.push_back(Waiting.Peer);
   HandOut.Waiting.clear();
   return Addresses;
--- a/Services/Node/state_server.h
+++ b/Services/Node/state_server.h
@@ -46,7 +46,7 @@
   node &Node;
   const replicated_state &State;
   std::function<duration()> StateAge;
-  hand_out HandOut;
+  snapshot_throttle HandOut;
   /// The revisions of the full snapshot.
   packed_kinds FullSnapshot;
   known_revisions SnapshotRevisions{};
--- a/Services/Node/store_sync.cpp
+++ b/Services/Node/store_sync.cpp
@@ -83,13 +83,13 @@
   if (!HasFullState)
     onBootstrapFinished();
   const instant Now = Node.Loop.now();
-  const duty_view View{ownRank(Node.Fleet),
-                       age(),
-                       Now - std::max(freshAt(), Relay.respondedAt()),
-                       Now - BootstrappedAt,
-                       UsesStore,
-                       WasListed};
-  setUsesStore(isOnDuty(Duty, View, Now));
+  const watch_inputs View{ownRank(Node.Fleet),
+                          age(),
+                          Now - std::max(freshAt(), Relay.respondedAt()),
+                          Now - BootstrappedAt,
+                          UsesStore,
+                          WasListed};
+  setUsesStore(shouldWatchStore(Duty, View, Now));
   if (!UsesStore || IsStoreUnconfirmed)
     Relay.start(/*StoreIsUnresponsive=*/UsesStore);
   else
@@ -120,7 +120,7 @@
   for (const std::string &Address : Server.popWaiting())
     AnnounceState(Address);
   std::size_t AnnouncedCount = 0;
-  for (const std::string &Name : membersToTell(Node.Fleet, FromStore))
+  for (const std::string &Name : membersToNotify(Node.Fleet, FromStore))
     Node.Loop.after(Server.timeToHandOut(AnnouncedCount++),
                     [this, Peer = Node.Fleet.Members.at(Name).Peer] {
                       AnnounceState(Peer);
--- a/Services/Node/store_sync.h
+++ b/Services/Node/store_sync.h
@@ -77,7 +77,7 @@
   instance_registration Registration;
   store_connection Prober;
   store_connection Cleaner;
-  store_duty Duty;
+  watch_duty Duty;
   bool HasFullState = false;
   instant BootstrappedAt{};
   /// Whether this node's object was listed when bootstrap finished.
--- a/Tests/fleet_start.cpp
+++ b/Tests/fleet_start.cpp
@@ -42,8 +42,8 @@
   bool IsDead = false;
   instant StartedAt{};
   std::optional<instant> ReceivedAt;
-  learning Bootstrap;
-  hand_out Throttle;
+  bootstrap Bootstrap;
+  snapshot_throttle Throttle;
   /// Time until which its link is busy with snapshots that it sends.
   instant SendsUntil{};
   bool SourceBusy = false;
@@ -135,10 +135,10 @@
   instance &Instance = Instances[Index];
   Instance.StartedAt = Now;
   Instance.Bootstrap =
-      startLearning({Instance.Member.Control, Seeds, Instance.Mbps,
-                     stableHash(Instance.Member.Name)},
-                    Now);
-  Instance.Throttle = makeHandOut(Instance.Mbps, Now);
+      startBootstrap({Instance.Member.Control, Seeds, Instance.Mbps,
+                      stableHash(Instance.Member.Name)},
+                     Now);
+  Instance.Throttle = makeSnapshotThrottle(Instance.Mbps, Now);
   tick(Index);
   awaitStoreDelay(Index);
 }
@@ -150,7 +150,7 @@
   if (mayAskStore(Instance.Bootstrap, Now))
     listStore(Index);
   else
-    runAt(Instance.Bootstrap.AskStoreAt,
+    runAt(Instance.Bootstrap.ListStoreAt,
           [this, Index] { awaitStoreDelay(Index); });
 }
 
@@ -159,10 +159,10 @@
   if (Instance.ReceivedAt)
     return;
   if (!Instance.SourceBusy)
-    if (const auto Control = takeHeard(Instance.Bootstrap))
+    if (const auto Control = popSource(Instance.Bootstrap))
       query(Index, *Control, &instance::SourceBusy);
   if (!Instance.SeedBusy)
-    if (const auto Control = takeSeed(Instance.Bootstrap, Now))
+    if (const auto Control = nextSeed(Instance.Bootstrap, Now))
       query(Index, *Control, &instance::SeedBusy);
   runAfter(TickPeriod, [this, Index] { tick(Index); });
 }
@@ -191,19 +191,19 @@
                           bool instance::*IsBusy) {
   instance &From = Instances[Sender];
   const fleet_member &To = Instances[Requester].Member;
-  const new_instance RequesterInfo{To.FailureDomain, To.Region, To.Control,
-                                   To.Peer};
+  const snapshot_requester RequesterInfo{To.FailureDomain, To.Region,
+                                         To.Control, To.Peer};
   const duration OneWay = latency(From.Member, To);
   const double Bytes = PackedBytes * static_cast<double>(Size.Servers);
   if (!From.ReceivedAt) {
-    noteWaiting(From.Throttle, RequesterInfo);
+    recordWaiting(From.Throttle, RequesterInfo);
     runAfter(OneWay, [this, Requester, IsBusy] {
       handleReferral(Requester, IsBusy, {});
     });
     return;
   }
-  if (!mayHandOut(From.Throttle, RequesterInfo, static_cast<std::size_t>(Bytes),
-                  Now)) {
+  if (!mayServeSnapshot(From.Throttle, RequesterInfo,
+                        static_cast<std::size_t>(Bytes), Now)) {
     const auto Referrals = referralsFor(From.Throttle, RequesterInfo);
     runAfter(OneWay, [this, Requester, IsBusy, Referrals] {
       handleReferral(Requester, IsBusy, Referrals);
@@ -225,9 +225,9 @@
   instance &Instance = Instances[Requester];
   Instance.*IsBusy = false;
   if (!mayAskStore(Instance.Bootstrap, Now))
-    noteSignOfLife(Instance.Bootstrap, Now);
+    postponeStoreList(Instance.Bootstrap, Now);
   for (const std::string &Referral : Referrals)
-    hearOfSource(Instance.Bootstrap, Referral);
+    addSource(Instance.Bootstrap, Referral);
 }
 
 void fleet_start::listStore(std::size_t Index) {
@@ -254,13 +254,13 @@
   if (Instance.ReceivedAt)
     return;
   Instance.ReceivedAt = Now;
-  for (const new_instance &Waiting : Instance.Throttle.Waiting)
+  for (const snapshot_requester &Waiting : Instance.Throttle.Waiting)
     announce(Index, Waiting.Control);
   Listed.Own = Instance.Member;
   const auto Bytes =
       static_cast<std::size_t>(PackedBytes * static_cast<double>(Size.Servers));
   std::size_t Notified = 0;
-  for (const std::string &Name : membersToTell(Listed, FromStore)) {
+  for (const std::string &Name : membersToNotify(Listed, FromStore)) {
     const std::string &Control = Listed.Members.at(Name).Control;
     runAfter(timeToHandOut(Instance.Throttle, Notified++, Bytes),
              [this, Index, Control] { announce(Index, Control); });
@@ -275,7 +275,7 @@
     instance &Notified = Instances[Index];
     if (!Notified.ReceivedAt && !Notified.IsDead &&
         Notified.StartedAt != instant())
-      hearOfSource(Notified.Bootstrap, Instances[Sender].Member.Control);
+      addSource(Notified.Bootstrap, Instances[Sender].Member.Control);
   });
 }
 
@@ -298,7 +298,7 @@
     if (Draw < Conditions.ShareAlive) {
       Instance.ReceivedAt = StartTime;
       Instance.StartedAt = StartTime;
-      Instance.Throttle = makeHandOut(Instance.Mbps, StartTime);
+      Instance.Throttle = makeSnapshotThrottle(Instance.Mbps, StartTime);
       runAt(StartTime, [this, Index] { probe(Index); });
       continue;
     }
--- a/Tests/fleet_test.cpp
+++ b/Tests/fleet_test.cpp
@@ -127,7 +127,7 @@
       makeFleet({makeMember(1, "a2", "a"), makeMember(2, "a1", "a"),
                  makeMember(3, "b1", "b"), makeMember(4, "b2", "b", 0.5),
                  makeMember(5, "b1", "b", 0.5), makeMember(6, "b1", "b")});
-  const auto Sources = sourcesInOrder(Fleet, /*IsDisconnected=*/true);
+  const auto Sources = orderedSources(Fleet, /*IsDisconnected=*/true);
   LONGS_EQUAL(6, Sources.size());
   for (std::size_t Position : {0U, 1U})
     DOUBLES_EQUAL(0.5, Sources[Position]->Processor, 0.01);
@@ -138,7 +138,7 @@
 // source.
 TEST(Fleet, OtherRegionsAreFallbackSources) {
   fleet Fleet = makeFleet({makeMember(1, "a1", "a"), makeMember(2, "b1", "b")});
-  const auto Sources = sourcesInOrder(Fleet, /*IsDisconnected=*/false);
+  const auto Sources = orderedSources(Fleet, /*IsDisconnected=*/false);
   LONGS_EQUAL(2, Sources.size());
   // The watcher of its own region is polled first, then the other region's.
   CHECK_EQUAL(std::string("n1"), Sources[0]->Name);
--- a/Tests/state_spread_test.cpp
+++ b/Tests/state_spread_test.cpp
@@ -117,14 +117,15 @@
 // requester's own failure domain.
 TEST(StateSpread, SlowSeedRefersRequestersToServedInstances) {
   constexpr std::size_t ListBytes = 53'000;
-  hand_out Throttle = makeHandOut(20, Start);
+  snapshot_throttle Throttle = makeSnapshotThrottle(20, Start);
   int Served = 0;
   for (int Number = 0; Number < 50; ++Number) {
     const std::string Control = "n" + std::to_string(Number);
     const std::string Domain = Number % 2 == 0 ? "a1" : "b1";
-    Served += mayHandOut(Throttle, {Domain, "a", Control, ""}, ListBytes, Start)
-                  ? 1
-                  : 0;
+    Served +=
+        mayServeSnapshot(Throttle, {Domain, "a", Control, ""}, ListBytes, Start)
+            ? 1
+            : 0;
   }
   // A burst of a fifth of a second at half of the link, 250 KB.
   LONGS_EQUAL(5, Served);
@@ -134,8 +135,8 @@
   const std::set<std::string> First(Referrals.begin(), Referrals.begin() + 2);
   CHECK(First == std::set<std::string>({"n1", "n3"}));
   // The allowance is refilled over time.
-  CHECK(mayHandOut(Throttle, {"a1", "a", "late", ""}, ListBytes,
-                   Start + seconds(1)));
+  CHECK(mayServeSnapshot(Throttle, {"a1", "a", "late", ""}, ListBytes,
+                         Start + seconds(1)));
 }
 
 // A list of servers is repetitive; see PeerMessages.
@@ -180,14 +181,14 @@
 TEST(StateSpread, OutagePollersAreBoundedForAnyFleetSize) {
   for (const std::size_t Instances : {9U, 75U, 295U, 1'900U}) {
     std::size_t Peak = 0;
-    std::vector<store_duty> Duties(Instances);
+    std::vector<watch_duty> Duties(Instances);
     for (duration Age{}; Age < seconds(8); Age += milliseconds(150)) {
       std::size_t Watching = 0;
       for (std::size_t Rank = 0; Rank < Instances; ++Rank)
-        Watching +=
-            isOnDuty(Duties[Rank], {Rank, Age, {}, seconds(60)}, Start + Age)
-                ? 1
-                : 0;
+        Watching += shouldWatchStore(Duties[Rank], {Rank, Age, {}, seconds(60)},
+                                     Start + Age)
+                        ? 1
+                        : 0;
       Peak = std::max(Peak, Watching);
     }
     CHECK_COMPARE(Peak, <=, MaxStoreWatchers);
@@ -198,34 +199,36 @@
 // next instances take over well within the time in which a change must be in
 // force.
 TEST(StateSpread, NextInstancesTakeOverForDisconnectedWatchers) {
-  store_duty Third;
+  watch_duty Third;
   const duration Long = seconds(60);
-  CHECK_FALSE(isOnDuty(Third, {2, milliseconds(900), {}, Long}, Start));
-  CHECK(isOnDuty(Third, {2, milliseconds(1'300), {}, Long}, Start));
+  CHECK_FALSE(shouldWatchStore(Third, {2, milliseconds(900), {}, Long}, Start));
+  CHECK(shouldWatchStore(Third, {2, milliseconds(1'300), {}, Long}, Start));
   // Continues for a while, also after the state is fresh again.
-  CHECK(isOnDuty(Third, {2, {}, {}, Long}, Start + seconds(2)));
-  CHECK_FALSE(isOnDuty(Third, {2, {}, {}, Long}, Start + seconds(4)));
-  store_duty Fifth;
-  CHECK_FALSE(isOnDuty(Fifth, {4, milliseconds(1'300), {}, Long}, Start));
-  CHECK(isOnDuty(Fifth, {4, milliseconds(2'800), {}, Long}, Start));
+  CHECK(shouldWatchStore(Third, {2, {}, {}, Long}, Start + seconds(2)));
+  CHECK_FALSE(shouldWatchStore(Third, {2, {}, {}, Long}, Start + seconds(4)));
+  watch_duty Fifth;
+  CHECK_FALSE(
+      shouldWatchStore(Fifth, {4, milliseconds(1'300), {}, Long}, Start));
+  CHECK(shouldWatchStore(Fifth, {4, milliseconds(2'800), {}, Long}, Start));
 }
 
 // An instance without a response from any peer watches the store, whatever its
 // rank.
 TEST(StateSpread, IsolatedInstanceWatchesTheStore) {
-  store_duty Duty;
-  CHECK(isOnDuty(Duty, {150, seconds(3), seconds(3), seconds(60)}, Start));
+  watch_duty Duty;
+  CHECK(shouldWatchStore(Duty, {150, seconds(3), seconds(3), seconds(60)},
+                         Start));
 }
 
 // Guards against a first start in which 209 of 295 instances watched the store
 // within a second, because each had seen few others yet and ranked itself among
 // the first.
 TEST(StateSpread, NewInstanceSettlesBeforeWatching) {
-  store_duty Duty;
-  CHECK_FALSE(isOnDuty(Duty, {0, {}, {}, milliseconds(700)}, Start));
-  CHECK(isOnDuty(Duty, {0, {}, {}, milliseconds(1'600)}, Start));
+  watch_duty Duty;
+  CHECK_FALSE(shouldWatchStore(Duty, {0, {}, {}, milliseconds(700)}, Start));
+  CHECK(shouldWatchStore(Duty, {0, {}, {}, milliseconds(1'600)}, Start));
   // An instance that bootstrapped from the store continues to watch it.
-  CHECK(isOnDuty(Duty, {0, {}, {}, milliseconds(10), true}, Start));
+  CHECK(shouldWatchStore(Duty, {0, {}, {}, milliseconds(10), true}, Start));
 }
 
 // Guards against a request that reaches a server 3.07 s after the server
@@ -234,24 +237,26 @@
 // watching, but the restarted watchers wait as if the whole fleet were new, so
 // no instance of the region gets changes from the store meanwhile.
 TEST(StateSpread, RestartedWatcherWatchesAtOnce) {
-  store_duty Duty;
+  watch_duty Duty;
   const duration JustBootstrapped = milliseconds(100);
-  CHECK(isOnDuty(Duty, {0, {}, {}, JustBootstrapped, false, /*WasListed=*/true},
-                 Start));
+  CHECK(shouldWatchStore(
+      Duty, {0, {}, {}, JustBootstrapped, false, /*WasListed=*/true}, Start));
   // Instances with a lower rank don't watch.
-  store_duty Behind;
-  CHECK_FALSE(
-      isOnDuty(Behind, {2, {}, {}, JustBootstrapped, false, true}, Start));
+  watch_duty Behind;
+  CHECK_FALSE(shouldWatchStore(
+      Behind, {2, {}, {}, JustBootstrapped, false, true}, Start));
 }
 
 // An instance that took over continues until the returned watcher has had a
 // response from the store.
 TEST(StateSpread, TakeoverOverlapsWithReturnedWatcher) {
-  store_duty Duty;
+  watch_duty Duty;
   const duration Long = seconds(60);
-  CHECK(isOnDuty(Duty, {1, {}, {}, Long, true}, Start));
-  CHECK(isOnDuty(Duty, {2, {}, {}, Long, true}, Start + milliseconds(700)));
-  CHECK_FALSE(isOnDuty(Duty, {2, {}, {}, Long, true}, Start + seconds(2)));
+  CHECK(shouldWatchStore(Duty, {1, {}, {}, Long, true}, Start));
+  CHECK(shouldWatchStore(Duty, {2, {}, {}, Long, true},
+                         Start + milliseconds(700)));
+  CHECK_FALSE(
+      shouldWatchStore(Duty, {2, {}, {}, Long, true}, Start + seconds(2)));
 }
 
 // Guards against two watchers of a region of 98 instances that serve 245 polls
@@ -266,7 +271,7 @@
       Fleet.Members = Members;
       Fleet.Own = Member;
       Fleet.Members.erase(Name);
-      const auto Sources = regularSources(Fleet);
+      const auto Sources = primarySources(Fleet);
       CHECK_FALSE(Sources.empty());
       ++Followers[Sources.front()->Name];
     }
--- a/Tests/store_test.cpp
+++ b/Tests/store_test.cpp
@@ -39,9 +39,9 @@
 TEST(Store, WatchStartsAtRevisionOfFirstPage) {
   list_watch Watch;
   POINTERS_EQUAL(nullptr,
-                 takePage(Watch, {{{"a", 3, "{}"}}, /*HasMore=*/true, 10}));
+                 handlePage(Watch, {{{"a", 3, "{}"}}, /*HasMore=*/true, 10}));
   CHECK_EQUAL(std::string("a"), nextRequest(Watch).After);
-  const auto *All = takePage(Watch, {{{"b", 4, "{}"}}, false, 12});
+  const auto *All = handlePage(Watch, {{{"b", 4, "{}"}}, false, 12});
   LONGS_EQUAL(2, All->size());
   CHECK(nextRequest(Watch).Verb == store_verb::Watch);
   LONGS_EQUAL(10, nextRequest(Watch).Revision);
@@ -49,8 +49,9 @@
 
 TEST(Store, ExpiredHistoryCausesList) {
   list_watch Watch;
-  takePage(Watch, {{}, false, 10});
-  CHECK(takeFailure(Watch, store_failure::HistoryGone) == duration::zero());
+  handlePage(Watch, {{}, false, 10});
+  CHECK(handleFailure(Watch, store_failure::HistoryExpired) ==
+        duration::zero());
   CHECK(nextRequest(Watch).Verb == store_verb::List);
 }
 
@@ -61,24 +62,24 @@
 // resuming from the revision.
 TEST(Store, MissingResponseCausesList) {
   list_watch Watch;
-  takePage(Watch, {{}, false, 10});
-  takeFailure(Watch, store_failure::Silent);
+  handlePage(Watch, {{}, false, 10});
+  handleFailure(Watch, store_failure::Silent);
   CHECK(nextRequest(Watch).Verb == store_verb::List);
-  takePage(Watch, {{}, false, 12});
-  takeFailure(Watch, store_failure::Refused);
+  handlePage(Watch, {{}, false, 12});
+  handleFailure(Watch, store_failure::Refused);
   CHECK(nextRequest(Watch).Verb == store_verb::Watch);
 }
 
 TEST(Store, RetriesBackOffExponentially) {
   list_watch Watch;
-  const duration First = takeFailure(Watch, store_failure::Silent);
+  const duration First = handleFailure(Watch, store_failure::Silent);
   duration Last = First;
   for (int Failure = 0; Failure < 20; ++Failure)
-    Last = takeFailure(Watch, store_failure::Refused);
+    Last = handleFailure(Watch, store_failure::Refused);
   CHECK(First == Watch.Delays.InitialRetryDelay);
   CHECK(Last == Watch.Delays.MaxRetryDelay);
-  CHECK(takeBatch(Watch, {}) == duration::zero());
-  CHECK(takeFailure(Watch, store_failure::Silent) == First);
+  CHECK(handleBatch(Watch, {}) == duration::zero());
+  CHECK(handleFailure(Watch, store_failure::Silent) == First);
 }
 
 // Guards against the use of a server that was removed: a node gets the removal,
@@ -86,10 +87,10 @@
 TEST(Store, OlderStateIsIgnored) {
   object_cache Cache;
   kind_changes New = changes(20, true, {makeChange("a", 3)});
-  CHECK(takeChanges(Cache, New));
+  CHECK(applyChanges(Cache, New));
   kind_changes Old =
       changes(15, true, {makeChange("a", 3), makeChange("b", 4)});
-  CHECK_FALSE(takeChanges(Cache, Old));
+  CHECK_FALSE(applyChanges(Cache, Old));
   LONGS_EQUAL(1, countLive(Cache));
 }
 
@@ -97,9 +98,9 @@
   object_cache Cache;
   kind_changes First =
       changes(5, true, {makeChange("a", 3), makeChange("b", 4)});
-  takeChanges(Cache, First);
+  applyChanges(Cache, First);
   kind_changes Second = changes(9, true, {makeChange("b", 4)});
-  CHECK(takeChanges(Cache, Second));
+  CHECK(applyChanges(Cache, Second));
   LONGS_EQUAL(2, Second.Changes.size());
   CHECK(Second.Changes[1].IsDeleted);
   LONGS_EQUAL(1, countLive(Cache));
@@ -117,7 +118,7 @@
   std::uint64_t Revision = 1;
   for (object_cache *Cache : {&One, &Two, &Reader}) {
     kind_changes Empty = changes(Revision, true, {});
-    takeChanges(*Cache, Empty);
+    applyChanges(*Cache, Empty);
   }
   for (int Step = 0; Step < 500; ++Step) {
     ++Revision;
@@ -127,7 +128,7 @@
                             Random() % 3 == 0)});
     for (object_cache *Cache : {&One, &Two}) {
       kind_changes Copy = Change;
-      takeChanges(*Cache, Copy);
+      applyChanges(*Cache, Copy);
     }
     if (Step % 7 != 0)
       continue;
@@ -136,7 +137,7 @@
     for (kind_changes &Kind : Missing.Kinds) {
       CHECK_FALSE(Kind.IsFull);
       CHECK(Kind.Changes.size() <= 7);
-      takeChanges(Reader, Kind);
+      applyChanges(Reader, Kind);
     }
     LONGS_EQUAL(countLive(Source), countLive(Reader));
   }
@@ -145,7 +146,7 @@
 TEST(Store, UpToDateInstanceGetsNoChanges) {
   object_cache Cache;
   kind_changes First = changes(5, true, {makeChange("a", 3)});
-  takeChanges(Cache, First);
+  applyChanges(Cache, First);
   LONGS_EQUAL(0, changesSince(Cache, knownRevisions(Cache)).Kinds.size());
 }
 
