--- a/Libraries/NodeSettings/node_settings.cpp
+++ b/Libraries/NodeSettings/node_settings.cpp
@@ -22,10 +22,10 @@
 static void readBounds(const YAML::Node &Node, node_bounds &Bounds,
                        std::vector<settings_fault> &Faults) {
   section_reader Reader(Node, "bounds.", Faults);
-  Reader.readReal("repeat_ratio", Bounds.RepeatRatio, 0, 10);
-  Reader.readDuration("repeat_window", Bounds.RepeatWindow, milliseconds(100),
+  Reader.readReal("repeat_ratio", Bounds.RetryRatio, 0, 10);
+  Reader.readDuration("repeat_window", Bounds.RetryWindow, milliseconds(100),
                       seconds(600));
-  Reader.readReal("repeat_slack", Bounds.RepeatSlack, 0, 1e6);
+  Reader.readReal("repeat_slack", Bounds.RetrySlack, 0, 1e6);
   Reader.readDuration("grace_period", Bounds.GracePeriod, milliseconds(500),
                       seconds(3'600));
   Reader.readDuration("lookup_ttl", Bounds.LookupTimeToLive, milliseconds(100),
@@ -36,7 +36,7 @@
 static void readLimits(const YAML::Node &Node, node_settings &Settings,
                        std::vector<settings_fault> &Faults) {
   section_reader Reader(Node, "limits.", Faults);
-  Reader.readReal("processor", Settings.Processor, 0.01, 1'024);
+  Reader.readReal("processor", Settings.CpuShare, 0.01, 1'024);
   Reader.readReal("link_mbps", Settings.LinkMbps, 0.1, 1e6);
   Reader.readNumber("memory_mb", Settings.MemoryMb, 32, 1'048'576);
   Reader.readNumber("file_descriptors", Settings.FileDescriptors, 64,
--- a/Libraries/NodeSettings/node_settings.h
+++ b/Libraries/NodeSettings/node_settings.h
@@ -29,9 +29,9 @@
 
 /// Limits set by operators, for all nodes together.
 struct node_bounds {
-  double RepeatRatio = 0.1;
-  duration RepeatWindow = std::chrono::seconds(10);
-  double RepeatSlack = 0;
+  double RetryRatio = 0.1;
+  duration RetryWindow = std::chrono::seconds(10);
+  double RetrySlack = 0;
   /// Time from SIGTERM until the process is killed.
   duration GracePeriod = std::chrono::seconds(6);
   /// Maximum time callers cache a look-up's response.
@@ -51,7 +51,7 @@
   /// can't be reached and no other node is known.
   std::vector<std::string> Seeds;
   /// Share of one core that this node may use.
-  double Processor = 1;
+  double CpuShare = 1;
   /// Bandwidth of this node's link, Mbit/s.
   double LinkMbps = 1'000;
   /// Memory that this node may use, in MB.
--- a/Services/Node/main.cpp
+++ b/Services/Node/main.cpp
@@ -77,7 +77,7 @@
     Node.Fleet.Own = {Settings.Instance,     Settings.FailureDomain,
                       Settings.Region,       Settings.Listen.Callers,
                       Settings.Listen.Peers, Settings.Listen.Control,
-                      Settings.Processor,    Settings.LinkMbps};
+                      Settings.CpuShare,     Settings.LinkMbps};
     Node.Fleet.Random.seed(stableHash(Settings.Instance));
     TRY(Callers.listen(TRY(parseEndpoint(Settings.Listen.Callers))));
     TRY(Lookups.listen(TRY(parseEndpoint(Settings.Listen.Lookups))));
@@ -178,9 +178,9 @@
     Node.Settings.Bounds = Settings->Bounds;
     Node.Settings.Store = Settings->Store;
     Node.Settings.MemoryMb = Settings->MemoryMb;
-    Node.Steering.RetryBudget.Bounds = {Settings->Bounds.RepeatRatio,
-                                        Settings->Bounds.RepeatWindow,
-                                        Settings->Bounds.RepeatSlack};
+    Node.Steering.RetryBudget.Bounds = {Settings->Bounds.RetryRatio,
+                                        Settings->Bounds.RetryWindow,
+                                        Settings->Bounds.RetrySlack};
     setDomains(Node.Steering.Targets, Settings->FailureDomains);
     Node.Steering.OwnRegion =
         regionIndex(Node.Steering.Targets, Node.Settings.Region);
--- a/Services/Node/node.cpp
+++ b/Services/Node/node.cpp
@@ -12,9 +12,9 @@
       Log(STDOUT_FILENO, Settings.Instance) {
   Loop.atEndOfRound([this] { Retired.clear(); });
   Loop.every(LogFlushPeriod, [this] { Log.flush(); });
-  Steering.RetryBudget.Bounds = {Settings.Bounds.RepeatRatio,
-                                 Settings.Bounds.RepeatWindow,
-                                 Settings.Bounds.RepeatSlack};
+  Steering.RetryBudget.Bounds = {Settings.Bounds.RetryRatio,
+                                 Settings.Bounds.RetryWindow,
+                                 Settings.Bounds.RetrySlack};
   setDomains(Steering.Targets, Settings.FailureDomains);
   Steering.OwnRegion = regionIndex(Steering.Targets, Settings.Region);
   Steering.Instances = {stableHash(Settings.Instance)};
--- a/Tests/node_settings_test.cpp
+++ b/Tests/node_settings_test.cpp
@@ -42,8 +42,8 @@
   const auto Check = checkNodeSettings(ValidText);
   LONGS_EQUAL(0, Check.Faults.size());
   CHECK_EQUAL(std::string("b"), Check.Settings.FailureDomains.at("b1"));
-  CHECK(Check.Settings.Bounds.RepeatWindow == std::chrono::seconds(10));
-  DOUBLES_EQUAL(58, Check.Settings.Bounds.RepeatSlack, 0);
+  CHECK(Check.Settings.Bounds.RetryWindow == std::chrono::seconds(10));
+  DOUBLES_EQUAL(58, Check.Settings.Bounds.RetrySlack, 0);
 }
 
 TEST(NodeSettings, ReportsFaultsWithTheirLines) {
