--- a/Libraries/Admission/admission.cpp
+++ b/Libraries/Admission/admission.cpp
@@ -51,7 +51,7 @@
   enqueue_result Result;
   // A request that would time out in the queue costs its caller the whole wait
   // and the service a slot: it is refused while there is time to try elsewhere.
-  if (Now + Limits.WaitPart * PredictedWait >= Request.Deadline)
+  if (Now + Limits.MaxWaitDivisor * PredictedWait >= Request.Deadline)
     return Result;
   auto Own = Queue.Customers.find(Request.Customer);
   if (Own != Queue.Customers.end() &&
@@ -120,7 +120,7 @@
   return Expired;
 }
 
-void earnRetry(retry_budget &Budget) {
+void creditRetry(retry_budget &Budget) {
   Budget.Thousandths = std::min(Budget.MaxThousandths,
                                 Budget.Thousandths + Budget.EarnPerThousand);
 }
--- a/Libraries/Admission/admission.h
+++ b/Libraries/Admission/admission.h
@@ -31,7 +31,7 @@
   /// A request is refused if its predicted wait exceeds the time left until its
   /// deadline, divided by this number: a request that waits longer gets its
   /// response late or not at all, and could have been sent elsewhere.
-  int WaitPart = 4;
+  int MaxWaitDivisor = 4;
 };
 
 /// Queue of one customer within a fair queue.
@@ -85,7 +85,7 @@
 };
 
 /// Adds the tokens of one first attempt.
-void earnRetry(retry_budget &Budget);
+void creditRetry(retry_budget &Budget);
 /// Returns whether a retry may be made now, and consumes its token.
 bool spendRetry(retry_budget &Budget);
 
--- a/Libraries/Budget/budget.cpp
+++ b/Libraries/Budget/budget.cpp
@@ -42,7 +42,7 @@
 static std::int64_t borrowedUnits(const budget_holder &Holder,
                                   const std::string &Resource, instant Now) {
   std::int64_t Sum = 0;
-  for (const auto &[Id, Loan] : Holder.Taken)
+  for (const auto &[Id, Loan] : Holder.LoansTaken)
     if (Loan.Resource == Resource && Now < Loan.Expiry)
       Sum += Loan.Units;
   return Sum;
@@ -69,8 +69,8 @@
   return std::max<std::int64_t>(Free, 0);
 }
 
-bool takeUnits(budget_holder &Holder, std::span<const resource_amount> Wanted,
-               instant Now) {
+bool acquireUnits(budget_holder &Holder,
+                  std::span<const resource_amount> Wanted, instant Now) {
   for (const resource_amount &Amount : Wanted)
     if (availableUnits(Holder, Amount.Resource, Now) < Amount.Units)
       return false;
@@ -95,7 +95,7 @@
     Holder.Shares[Resource].Granted = Units;
 }
 
-void observeRecord(budget_holder &Holder, const pool_record &Record) {
+void applyRecord(budget_holder &Holder, const pool_record &Record) {
   // A delayed read of an older version, or of the version on which this
   // holder's own unconfirmed update is based, would raise the grant while that
   // update may still lower the row. Only a newer version proves that the update
@@ -107,10 +107,10 @@
   applyOwnRow(Holder);
 }
 
-void observeDeath(budget_holder &Holder, const std::string &Incarnation,
-                  instant Now) {
+void recordHolderDeath(budget_holder &Holder, const std::string &Incarnation,
+                       instant Now) {
   if (Incarnation != Holder.Self)
-    Holder.Dead.try_emplace(Incarnation, Now);
+    Holder.DeadHolders.try_emplace(Incarnation, Now);
 }
 
 /// Dead holders whose last request, and the last request on units borrowed from
@@ -119,7 +119,7 @@
                                                 const budget_timing &Timing,
                                                 instant Now) {
   std::set<std::string> Names;
-  for (const auto &[Incarnation, Since] : Holder.Dead)
+  for (const auto &[Incarnation, Since] : Holder.DeadHolders)
     if (Now >= Since + Timing.ReclaimDelay)
       Names.insert(Incarnation);
   return Names;
@@ -160,13 +160,13 @@
 
 static void removeLoansOfDeadHolders(budget_holder &Holder,
                                      const std::set<std::string> &Names) {
-  std::erase_if(Holder.Given, [&](const auto &Entry) {
+  std::erase_if(Holder.LoansGiven, [&](const auto &Entry) {
     if (!Names.contains(Entry.second.Peer))
       return false;
     Holder.Shares[Entry.second.Resource].Lent -= Entry.second.Units;
     return true;
   });
-  std::erase_if(Holder.Returning, [&](const auto &Entry) {
+  std::erase_if(Holder.LoansReturning, [&](const auto &Entry) {
     return Names.contains(Entry.second.Peer);
   });
 }
@@ -179,7 +179,7 @@
   if (Now < Holder.NextUpdate)
     return std::nullopt;
   if (Holder.Pending) {
-    if (!std::exchange(Holder.Pending->Repeat, false))
+    if (!std::exchange(Holder.Pending->NeedsRetry, false))
       return std::nullopt;
     return Holder.Pending->Proposed;
   }
@@ -203,21 +203,23 @@
   return Next;
 }
 
-std::optional<pool_record> planLeave(budget_holder &Holder,
-                                     const budget_timing &Timing, instant Now) {
+std::optional<pool_record> planRowRemoval(budget_holder &Holder,
+                                          const budget_timing &Timing,
+                                          instant Now) {
   // A dead borrower returns nothing and a dead lender confirms nothing: without
   // this, a holder that shuts down would wait for them until the shutdown limit
   // of its process.
   removeLoansOfDeadHolders(Holder, reclaimableHolders(Holder, Timing, Now));
   if (Holder.Pending) {
-    if (!std::exchange(Holder.Pending->Repeat, false))
+    if (!std::exchange(Holder.Pending->NeedsRetry, false))
       return std::nullopt;
     return Holder.Pending->Proposed;
   }
   for (const auto &[Resource, Share] : Holder.Shares)
     if (Share.Used != 0 || Share.Lent != 0)
       return std::nullopt;
-  const bool Borrows = !Holder.Taken.empty() || !Holder.Returning.empty();
+  const bool Borrows =
+      !Holder.LoansTaken.empty() || !Holder.LoansReturning.empty();
   if (Borrows || !Holder.Record.Shares.contains(Holder.Self))
     return std::nullopt;
   pool_record Next = Holder.Record;
@@ -240,14 +242,14 @@
   return duration(static_cast<std::int64_t>(Half + Own));
 }
 
-void updateAnswered(budget_holder &Holder, const pool_record &Proposed,
-                    update_result Result, std::int64_t NewVersion,
-                    instant Now) {
+void handleUpdateResult(budget_holder &Holder, const pool_record &Proposed,
+                        update_result Result, std::int64_t NewVersion,
+                        instant Now) {
   // Conflict: a newer version exists and will be received. Uncertain: the write
   // may take effect at any time, so the lower of both grants applies until a
   // newer version is received.
   if (Result == update_result::Uncertain && Holder.Pending)
-    Holder.Pending->Repeat = true;
+    Holder.Pending->NeedsRetry = true;
   if (Result != update_result::Written) {
     ++Holder.FailedUpdates;
     Holder.NextUpdate =
@@ -259,7 +261,7 @@
   Holder.FailedUpdates = 0;
   pool_record Written = Proposed;
   Written.Version = NewVersion;
-  observeRecord(Holder, Written);
+  applyRecord(Holder, Written);
 }
 
 } // namespace amaranthhoist
--- a/Libraries/Budget/budget.h
+++ b/Libraries/Budget/budget.h
@@ -71,7 +71,7 @@
   pool_record Proposed;
   /// Whether the response was lost, so that the same update must be retried: a
   /// retry on the same version takes effect at most once.
-  bool Repeat = false;
+  bool NeedsRetry = false;
 };
 
 /// State of one gateway in one pool.
@@ -88,19 +88,19 @@
   amounts Quanta;
   std::map<std::string, share> Shares;
   /// Loans to peers, by loan id.
-  std::map<std::string, loan> Given;
+  std::map<std::string, loan> LoansGiven;
   /// Loans from peers, by loan id.
-  std::map<std::string, loan> Taken;
+  std::map<std::string, loan> LoansTaken;
   /// Ids of requested loans without a response yet, with the time of the
   /// request. A loan is accepted only under one of these ids, so a delayed copy
   /// of a closed loan is rejected.
-  std::map<std::string, instant> Requested;
+  std::map<std::string, instant> LoansRequested;
   /// Loans that were returned to the lender and whose return is not confirmed
   /// yet, by loan id.
-  std::map<std::string, loan> Returning;
+  std::map<std::string, loan> LoansReturning;
   /// Holders proved dead, with the time at which this holder received the
   /// proof.
-  std::map<std::string, instant> Dead;
+  std::map<std::string, instant> DeadHolders;
   std::optional<pending_update> Pending;
   /// Consecutive updates that were not written, and the earliest time of the
   /// next update.
@@ -132,8 +132,8 @@
 
 /// Acquires all of \p Wanted or nothing. Returns whether the units were
 /// acquired.
-bool takeUnits(budget_holder &Holder, std::span<const resource_amount> Wanted,
-               instant Now);
+bool acquireUnits(budget_holder &Holder,
+                  std::span<const resource_amount> Wanted, instant Now);
 
 /// Releases units whose work has ended.
 void releaseUnits(budget_holder &Holder,
@@ -141,11 +141,11 @@
 
 /// Applies a newer record. Older and equal versions are ignored, so a delayed
 /// read cannot raise a share that was lowered since.
-void observeRecord(budget_holder &Holder, const pool_record &Record);
+void applyRecord(budget_holder &Holder, const pool_record &Record);
 
 /// Records the proof that \p Incarnation is no longer running.
-void observeDeath(budget_holder &Holder, const std::string &Incarnation,
-                  instant Now);
+void recordHolderDeath(budget_holder &Holder, const std::string &Incarnation,
+                       instant Now);
 
 /// Plans the next record for this holder, if it needs a change: its own row
 /// moved towards a fair share, and rows of holders proved dead removed. Lowers
@@ -159,8 +159,8 @@
 /// nothing while units are lent, borrowed or in use. Loans of holders that have
 /// been dead for ReclaimDelay are ignored. The holder's own use ends before
 /// this returns.
-std::optional<pool_record> planLeave(budget_holder &Holder,
-                                     const budget_timing &Timing, instant Now);
+std::optional<pool_record>
+planRowRemoval(budget_holder &Holder, const budget_timing &Timing, instant Now);
 
 /// Result of a conditional update.
 enum class update_result : std::uint8_t {
@@ -176,8 +176,9 @@
 /// was not written is followed by a backoff that doubles and differs between
 /// holders, so that a recovering platform does not receive the updates of all
 /// holders at once.
-void updateAnswered(budget_holder &Holder, const pool_record &Proposed,
-                    update_result Result, std::int64_t NewVersion, instant Now);
+void handleUpdateResult(budget_holder &Holder, const pool_record &Proposed,
+                        update_result Result, std::int64_t NewVersion,
+                        instant Now);
 
 /// A message between two holders of a pool.
 struct loan_message {
@@ -220,6 +221,6 @@
 /// unconfirmed returns. Runs four times per LoanLease however often it is
 /// called.
 std::vector<outgoing_loan_message>
-loanTick(budget_holder &Holder, const budget_timing &Timing, instant Now);
+maintainLoans(budget_holder &Holder, const budget_timing &Timing, instant Now);
 
 } // namespace amaranthhoist
--- a/Libraries/Budget/loans.cpp
+++ b/Libraries/Budget/loans.cpp
@@ -16,7 +16,7 @@
                                   const std::string &Resource,
                                   std::int64_t Units, instant Now) {
   const std::string Id = Holder.Self + "/" + std::to_string(Holder.NextLoan++);
-  Holder.Requested.emplace(Id, Now);
+  Holder.LoansRequested.emplace(Id, Now);
   return {Peer, {kind::Borrow, {}, Id, Resource, Units}};
 }
 
@@ -40,16 +40,16 @@
                                                const std::string &From,
                                                const loan_message &Message,
                                                instant Now) {
-  auto Known = Holder.Given.find(Message.LoanId);
-  if (Known == Holder.Given.end()) {
-    if (Holder.Dead.contains(From))
+  auto Known = Holder.LoansGiven.find(Message.LoanId);
+  if (Known == Holder.LoansGiven.end()) {
+    if (Holder.DeadHolders.contains(From))
       return {};
     const std::int64_t Units = unitsToLend(Holder, Message, Now);
     if (Units == 0)
       return {};
     // The units count as lent before the borrower can receive the message.
     Holder.Shares[Message.Resource].Lent += Units;
-    Known = Holder.Given
+    Known = Holder.LoansGiven
                 .emplace(Message.LoanId,
                          loan{From, Message.Resource, Units, instant{}})
                 .first;
@@ -65,9 +65,9 @@
 acceptLoan(budget_holder &Holder, const std::string &From,
            const loan_message &Message, const budget_timing &Timing,
            instant Now) {
-  auto Taken = Holder.Taken.find(Message.LoanId);
-  if (Taken != Holder.Taken.end()) {
-    if (!Holder.Dead.contains(From))
+  auto Taken = Holder.LoansTaken.find(Message.LoanId);
+  if (Taken != Holder.LoansTaken.end()) {
+    if (!Holder.DeadHolders.contains(From))
       Taken->second.Expiry = Now + Timing.LoanLease;
     return {};
   }
@@ -77,19 +77,20 @@
   // be accepted again while the lender uses the same units: two requests on one
   // unit. The reply returns the loan, as the lender would otherwise count it as
   // lent forever.
-  if (Holder.Requested.erase(Message.LoanId) == 0 || Holder.Dead.contains(From))
+  if (Holder.LoansRequested.erase(Message.LoanId) == 0 ||
+      Holder.DeadHolders.contains(From))
     return {{From, makeLoanMessage(kind::Return, Message.LoanId, Loan)}};
-  Holder.Taken.emplace(Message.LoanId, Loan);
+  Holder.LoansTaken.emplace(Message.LoanId, Loan);
   return {};
 }
 
 static std::vector<outgoing_loan_message>
 acceptReturn(budget_holder &Holder, const std::string &From,
              const loan_message &Message) {
-  auto Known = Holder.Given.find(Message.LoanId);
-  if (Known != Holder.Given.end()) {
+  auto Known = Holder.LoansGiven.find(Message.LoanId);
+  if (Known != Holder.LoansGiven.end()) {
     Holder.Shares[Known->second.Resource].Lent -= Known->second.Units;
-    Holder.Given.erase(Known);
+    Holder.LoansGiven.erase(Known);
   }
   loan_message Reply = Message;
   Reply.Kind = kind::Returned;
@@ -108,7 +109,7 @@
   case kind::Return:
     return acceptReturn(Holder, From, Message);
   case kind::Returned:
-    Holder.Returning.erase(Message.LoanId);
+    Holder.LoansReturning.erase(Message.LoanId);
     return {};
   }
   return {};
@@ -118,34 +119,35 @@
 /// progress: a unit in use by a long export is returned when the export ends,
 /// never by time.
 static void returnIdleLoans(budget_holder &Holder) {
-  for (auto Loan = Holder.Taken.begin(); Loan != Holder.Taken.end();) {
+  for (auto Loan = Holder.LoansTaken.begin();
+       Loan != Holder.LoansTaken.end();) {
     const share &Share = Holder.Shares[Loan->second.Resource];
     std::int64_t Total = Share.Granted - Share.Lent;
-    for (const auto &[Id, Other] : Holder.Taken)
+    for (const auto &[Id, Other] : Holder.LoansTaken)
       if (Other.Resource == Loan->second.Resource)
         Total += Other.Units;
     if (Share.Used > Total - Loan->second.Units) {
       ++Loan;
       continue;
     }
-    Holder.Returning.insert(*Loan);
-    Loan = Holder.Taken.erase(Loan);
+    Holder.LoansReturning.insert(*Loan);
+    Loan = Holder.LoansTaken.erase(Loan);
   }
 }
 
 std::vector<outgoing_loan_message>
-loanTick(budget_holder &Holder, const budget_timing &Timing, instant Now) {
+maintainLoans(budget_holder &Holder, const budget_timing &Timing, instant Now) {
   if (Now < Holder.NextRenewal)
     return {};
   Holder.NextRenewal = Now + Timing.LoanLease / 4;
-  std::erase_if(Holder.Requested, [&](const auto &Entry) {
+  std::erase_if(Holder.LoansRequested, [&](const auto &Entry) {
     return Now >= Entry.second + Timing.LoanLease;
   });
   returnIdleLoans(Holder);
   std::vector<outgoing_loan_message> Messages;
-  for (const auto &[Id, Loan] : Holder.Given)
+  for (const auto &[Id, Loan] : Holder.LoansGiven)
     Messages.push_back({Loan.Peer, makeLoanMessage(kind::Lend, Id, Loan)});
-  for (const auto &[Id, Loan] : Holder.Returning)
+  for (const auto &[Id, Loan] : Holder.LoansReturning)
     Messages.push_back({Loan.Peer, makeLoanMessage(kind::Return, Id, Loan)});
   return Messages;
 }
--- a/Libraries/Contracts/contracts.cpp
+++ b/Libraries/Contracts/contracts.cpp
@@ -123,8 +123,8 @@
   Limit.Tokens = std::min(burstOf(Rate), Limit.Tokens + Rate * Passed.count());
 }
 
-limit_verdict takeLimit(customer_limit &Limit, const contract &Contract,
-                        std::int64_t Entries, instant Now) {
+limit_verdict acquireLimit(customer_limit &Limit, const contract &Contract,
+                           std::int64_t Entries, instant Now) {
   const std::int64_t Share = std::max<std::int64_t>(Entries, 1);
   refill(Limit, entryRate(Contract, Share), Now);
   if (Limit.InProgress >= (Contract.Concurrency + Share - 1) / Share)
--- a/Libraries/Contracts/contracts.h
+++ b/Libraries/Contracts/contracts.h
@@ -49,8 +49,8 @@
 /// with demand, like budget shares, where the lender reduces its own share
 /// before the borrower raises its own; an equal share wastes the part of
 /// entries that this customer does not use.
-limit_verdict takeLimit(customer_limit &Limit, const contract &Contract,
-                        std::int64_t Entries, instant Now);
+limit_verdict acquireLimit(customer_limit &Limit, const contract &Contract,
+                           std::int64_t Entries, instant Now);
 
 /// Releases one request acquired by acquireLimit when the request has ended.
 void releaseLimit(customer_limit &Limit);
--- a/Libraries/Entry/entry.cpp
+++ b/Libraries/Entry/entry.cpp
@@ -104,9 +104,9 @@
 }
 
 static void queryWitness(entry_work &Work, actions &Actions) {
-  Work.AskedWitness = true;
+  Work.WitnessQueried = true;
   Actions.push_back(
-      ask_witness{Work.Request.Token, Work.Home.Witness, Work.Request.Key});
+      query_witness{Work.Request.Token, Work.Home.Witness, Work.Request.Key});
 }
 
 /// Returns the reason to refuse a request before it is forwarded, or an empty
@@ -120,8 +120,8 @@
     return "the contract doesn't include this service";
   if (Now >= Request.Deadline)
     return "the deadline has passed";
-  switch (
-      takeLimit(Node.Limits[Request.Customer], *Contract, Node.Entries, Now)) {
+  switch (acquireLimit(Node.Limits[Request.Customer], *Contract, Node.Entries,
+                       Now)) {
   case limit_verdict::Allowed:
     return {};
   case limit_verdict::RateLimited:
@@ -177,8 +177,8 @@
                                     retryAfterFor(Node, Request)});
     return;
   }
-  earnRetry(Node.Retries.try_emplace(Request.Customer, Node.Settings.Retries)
-                .first->second);
+  creditRetry(Node.Retries.try_emplace(Request.Customer, Node.Settings.Retries)
+                  .first->second);
   entry_work &Work = Node.Work[Request.Token];
   Work.Request = Request;
   if (Request.Class == work_class::NonIdempotent)
@@ -201,10 +201,10 @@
   return true;
 }
 
-static void handleResponse(entry_node &Node, const gateway_answered &Event,
+static void handleResponse(entry_node &Node, const gateway_responded &Event,
                            instant Now, actions &Actions) {
   auto Found = Node.Work.find(Event.Token);
-  if (Found == Node.Work.end() || Found->second.AskedWitness)
+  if (Found == Node.Work.end() || Found->second.WitnessQueried)
     return;
   if (Event.Outcome == outcome::Refused &&
       tryNextGateway(Node, Found->second, Now, Actions))
@@ -224,7 +224,7 @@
 static void handleGatewayFailure(entry_node &Node, const gateway_failed &Event,
                                  instant Now, actions &Actions) {
   auto Found = Node.Work.find(Event.Token);
-  if (Found == Node.Work.end() || Found->second.AskedWitness)
+  if (Found == Node.Work.end() || Found->second.WitnessQueried)
     return;
   entry_work &Work = Found->second;
   if (Work.Request.Class == work_class::NonIdempotent) {
@@ -252,7 +252,7 @@
          Actions);
 }
 
-static void applyOffer(entry_node &Node, const offer_heard &Event) {
+static void applyOffer(entry_node &Node, const offer_received &Event) {
   offer Offer = Event.Offer;
   if (!Node.Gateways.contains(Offer.Gateway))
     return;
@@ -322,23 +322,25 @@
   void operator()(const caller_request &Event) const {
     handleRequest(Node, Event, Now, Actions);
   }
-  void operator()(const gateway_answered &Event) const {
+  void operator()(const gateway_responded &Event) const {
     handleResponse(Node, Event, Now, Actions);
   }
   void operator()(const gateway_failed &Event) const {
     handleGatewayFailure(Node, Event, Now, Actions);
   }
-  void operator()(const witness_answered &Event) const {
+  void operator()(const witness_responded &Event) const {
     finish(Node, Event.Token, Event.Outcome, "the owner is gone",
            Event.RetryAfter, Actions);
   }
   void operator()(const witness_failed &Event) const {
     handleWitnessFailure(Node, Event.Token, Actions);
   }
-  void operator()(const caller_left &Event) const {
+  void operator()(const caller_disconnected &Event) const {
     handleDisconnect(Node, Event.Token);
   }
-  void operator()(const offer_heard &Event) const { applyOffer(Node, Event); }
+  void operator()(const offer_received &Event) const {
+    applyOffer(Node, Event);
+  }
   void operator()(const gateways_changed &Event) const {
     applyGateways(Node, Event.Gateways, Now, Actions);
   }
--- a/Libraries/Entry/entry.h
+++ b/Libraries/Entry/entry.h
@@ -48,7 +48,7 @@
 
 // Events.
 
-struct gateway_answered {
+struct gateway_responded {
   std::uint64_t Token = 0;
   outcome Outcome = outcome::Refused;
   std::string Reason;
@@ -64,7 +64,7 @@
   bool Streamed = false;
 };
 
-struct witness_answered {
+struct witness_responded {
   std::uint64_t Token = 0;
   outcome Outcome = outcome::Unknown;
   duration RetryAfter{};
@@ -76,12 +76,12 @@
 };
 
 /// The caller disconnected.
-struct caller_left {
+struct caller_disconnected {
   std::uint64_t Token = 0;
 };
 
 /// An offer for one service, received with a response or by polling.
-struct offer_heard {
+struct offer_received {
   std::string Service;
   offer Offer;
 };
@@ -112,10 +112,11 @@
 struct entry_tick {};
 
 using entry_event =
-    std::variant<caller_request, gateway_answered, gateway_failed,
-                 witness_answered, witness_failed, caller_left, offer_heard,
-                 gateways_changed, contract_changed, contract_deleted,
-                 entries_changed, draining_sites_changed, entry_tick>;
+    std::variant<caller_request, gateway_responded, gateway_failed,
+                 witness_responded, witness_failed, caller_disconnected,
+                 offer_received, gateways_changed, contract_changed,
+                 contract_deleted, entries_changed, draining_sites_changed,
+                 entry_tick>;
 
 // Actions.
 
@@ -127,7 +128,7 @@
   instant Deadline{};
 };
 
-struct ask_witness {
+struct query_witness {
   std::uint64_t Token = 0;
   std::string Witness;
   std::string Key;
@@ -141,7 +142,8 @@
   duration RetryAfter{};
 };
 
-using entry_action = std::variant<forward_request, ask_witness, finish_caller>;
+using entry_action =
+    std::variant<forward_request, query_witness, finish_caller>;
 
 // State.
 
@@ -155,7 +157,7 @@
   std::int32_t Forwards = 0;
   home_token Home;
   bool MaybeDelivered = false;
-  bool AskedWitness = false;
+  bool WitnessQueried = false;
 };
 
 struct entry_node {
--- a/Libraries/Gateway/arrival.cpp
+++ b/Libraries/Gateway/arrival.cpp
@@ -6,12 +6,12 @@
 
 static void finish(const gateway_node &Node, const work_request &Request,
                    outcome Outcome, std::string Reason, actions &Actions,
-                   stored_answer Answer = {}) {
+                   stored_response Answer = {}) {
   finish_request Action;
   Action.Token = Request.Token;
   Action.Outcome = Outcome;
   Action.Reason = std::move(Reason);
-  Action.Answer = std::move(Answer);
+  Action.Response = std::move(Answer);
   if (Outcome != outcome::Answered)
     Action.RetryAfter =
         spreadRetryAfter(Node.Settings.RetryAfter, Request.RequestId);
@@ -40,7 +40,7 @@
 static bool servesService(const gateway_node &Node,
                           const std::string &Service) {
   for (const auto &[Name, Target] : Node.Targets)
-    if (Target.Service == Service && !Target.Leaving)
+    if (Target.Service == Service && !Target.Draining)
       return true;
   return false;
 }
@@ -64,7 +64,7 @@
     return false;
   case key_verdict::Replay:
     finish(Node, Request, outcome::Answered, "replayed", Actions,
-           Node.Owned.Keys.at(Request.Key).Answer);
+           Node.Owned.Keys.at(Request.Key).Response);
     return false;
   case key_verdict::NotRun:
     finish(Node, Request, outcome::NotRun, "the key is closed", Actions);
@@ -111,7 +111,7 @@
                    moment Moment, actions &Actions) {
   work_item Item;
   Item.Request = Event.Request;
-  earnRetry(Node.Retries);
+  creditRetry(Node.Retries);
   if (Item.Request.Class == work_class::NonIdempotent) {
     handleKeyedArrival(Node, Item, Moment, Actions);
     return;
@@ -134,7 +134,7 @@
   // stored for the retry under the same key, which would otherwise get
   // "unknown".
   if (Item.Request.Class == work_class::NonIdempotent) {
-    forgetWaiter(Node.Owned, Item.Request.Key, Token);
+    removeWaiter(Node.Owned, Item.Request.Key, Token);
     return;
   }
   if (!Item.Target.empty()) {
@@ -146,7 +146,7 @@
   Node.Work.erase(Found);
 }
 
-void handleSealRequest(gateway_node &Node, const seal_asked &Event,
+void handleSealRequest(gateway_node &Node, const seal_requested &Event,
                        moment Moment, actions &Actions) {
   finish_request Action;
   Action.Token = Event.Token;
--- a/Libraries/Gateway/completion.cpp
+++ b/Libraries/Gateway/completion.cpp
@@ -9,13 +9,13 @@
                           const std::vector<std::uint64_t> &Waiters,
                           const work_request &Request, outcome Outcome,
                           const std::string &Reason,
-                          const stored_answer &Answer, actions &Actions) {
+                          const stored_response &Answer, actions &Actions) {
   for (const std::uint64_t Waiter : Waiters) {
     finish_request Action;
     Action.Token = Waiter;
     Action.Outcome = Outcome;
     Action.Reason = Reason;
-    Action.Answer = Answer;
+    Action.Response = Answer;
     if (Outcome != outcome::Answered)
       Action.RetryAfter =
           spreadRetryAfter(Node.Settings.RetryAfter, Request.RequestId);
@@ -25,11 +25,11 @@
 
 static void finishKey(gateway_node &Node, const work_request &Request,
                       key_state State, outcome Outcome,
-                      const std::string &Reason, const stored_answer &Answer,
+                      const std::string &Reason, const stored_response &Answer,
                       actions &Actions) {
-  stored_answer Stored = Answer;
+  stored_response Stored = Answer;
   key_state StoredState = State;
-  if (Stored.Body.size() > Node.Settings.Keys.MaxAnswerBytes) {
+  if (Stored.Body.size() > Node.Settings.Keys.MaxResponseBytes) {
     // Too large to store: the current waiters get the response, later retries
     // get only "unknown" (may have been executed).
     Stored = {};
@@ -60,9 +60,10 @@
 /// power.
 static void settleUnits(gateway_node &Node, work_item &Item, bool Ended,
                         instant Now) {
-  if (!Ended && Now < Item.ToldDeadline + Node.Settings.EndMargin) {
-    Node.Lingering.push_back({Item.Target, std::move(Item.Units),
-                              Item.ToldDeadline + Node.Settings.EndMargin});
+  if (!Ended && Now < Item.BackendDeadline + Node.Settings.CompletionMargin) {
+    Node.UnconfirmedWork.push_back(
+        {Item.Target, std::move(Item.Units),
+         Item.BackendDeadline + Node.Settings.CompletionMargin});
   } else {
     releaseUnits(Node.Budget, Item.Units);
     auto Target = Node.Targets.find(Item.Target);
@@ -76,38 +77,39 @@
 void markTargetDraining(gateway_node &Node, const std::string &Target,
                         bool NotifyPeers, actions &Actions) {
   auto Found = Node.Targets.find(Target);
-  if (Found == Node.Targets.end() || Found->second.Leaving)
+  if (Found == Node.Targets.end() || Found->second.Draining)
     return;
-  Found->second.Leaving = true;
+  Found->second.Draining = true;
   if (!NotifyPeers)
     return;
   for (const std::string &Peer : Node.Peers)
-    Actions.push_back(send_to_peer{Peer, leaving_notice{Target}});
+    Actions.push_back(send_to_peer{Peer, draining_notice{Target}});
 }
 
 static void recordAttemptEnd(gateway_node &Node, const std::string &Name,
-                             const target_ended &Event, instant Now,
+                             const attempt_ended &Event, instant Now,
                              actions &Actions) {
   auto Found = Node.Targets.find(Name);
   if (Found == Node.Targets.end())
     return;
-  if (Event.Leaving)
+  if (Event.Draining)
     markTargetDraining(Node, Name, true, Actions);
   const bool Healthy = Event.End == target_end::Completed;
   if (Event.End != target_end::Stopped)
-    noteTargetResult(Found->second, Node.Settings.Targets, Healthy,
-                     Event.Elapsed, Now);
+    recordTargetResult(Found->second, Node.Settings.Targets, Healthy,
+                       Event.Elapsed, Now);
   if (Event.End == target_end::NotReached)
-    noteNotReached(Found->second, Node.Settings.Targets);
+    recordConnectionRefused(Found->second, Node.Settings.Targets);
 }
 
 /// Whether the request may be retried at another target.
 static bool mayRetry(gateway_node &Node, const work_item &Item,
-                     const target_ended &Event, moment Moment) {
+                     const attempt_ended &Event, moment Moment) {
   const bool NotExecuted =
       Event.End == target_end::NotReached || Event.End == target_end::Shed;
   const bool SafeToRetry = Item.Request.Class == work_class::Idempotent &&
-                           !Event.Streamed && Event.End == target_end::Broken;
+                           !Event.Streamed &&
+                           Event.End == target_end::Interrupted;
   if (!NotExecuted && !SafeToRetry)
     return false;
   if (Item.Cancelled || Item.Attempts >= MaxAttempts)
@@ -125,27 +127,27 @@
 }
 
 static void finishIdempotent(gateway_node &Node, const work_request &Request,
-                             const target_ended &Event, actions &Actions) {
+                             const attempt_ended &Event, actions &Actions) {
   const bool Whole = Event.End == target_end::Completed;
   finishWaiters(Node, {Request.Token}, Request,
                 Whole ? outcome::Answered : outcome::Refused,
                 Whole ? "" : "the backend server failed",
-                Whole ? Event.Answer : stored_answer{}, Actions);
+                Whole ? Event.Response : stored_response{}, Actions);
 }
 
 static void finishKeyed(gateway_node &Node, const work_request &Request,
-                        const target_ended &Event, actions &Actions) {
+                        const attempt_ended &Event, actions &Actions) {
   switch (Event.End) {
   case target_end::Completed:
     finishKey(Node, Request, key_state::Answered, outcome::Answered, "",
-              Event.Answer, Actions);
+              Event.Response, Actions);
     return;
   case target_end::NotReached:
   case target_end::Shed:
     finishKey(Node, Request, key_state::NotRun, outcome::NotRun,
               "no backend server took it", {}, Actions);
     return;
-  case target_end::Broken:
+  case target_end::Interrupted:
   case target_end::Stopped:
     finishKey(Node, Request, key_state::Unknown, outcome::Unknown,
               "the backend server's answer was lost", {}, Actions);
@@ -153,14 +155,14 @@
   }
 }
 
-void handleTargetEnded(gateway_node &Node, const target_ended &Event,
+void handleTargetEnded(gateway_node &Node, const attempt_ended &Event,
                        moment Moment, actions &Actions) {
   auto Found = Node.Work.find(Event.Token);
   if (Found == Node.Work.end() || Found->second.Target.empty())
     return;
   work_item &Item = Found->second;
   recordAttemptEnd(Node, Item.Target, Event, Moment.Now, Actions);
-  settleUnits(Node, Item, Event.End != target_end::Broken, Moment.Now);
+  settleUnits(Node, Item, Event.End != target_end::Interrupted, Moment.Now);
   if (mayRetry(Node, Item, Event, Moment)) {
     retry(Node, Item);
   } else {
@@ -175,7 +177,7 @@
 }
 
 void releaseUnconfirmedWork(gateway_node &Node, instant Now) {
-  std::erase_if(Node.Lingering, [&](const lingering_work &Work) {
+  std::erase_if(Node.UnconfirmedWork, [&](const unconfirmed_work &Work) {
     if (Now < Work.Until)
       return false;
     releaseUnits(Node.Budget, Work.Units);
--- a/Libraries/Gateway/dispatch.cpp
+++ b/Libraries/Gateway/dispatch.cpp
@@ -44,10 +44,10 @@
   service_rate Rate;
   std::int64_t Count = 0;
   for (const auto &[Name, Target] : Node.Targets) {
-    if (Target.Service != Service || Target.Leaving)
+    if (Target.Service != Service || Target.Draining)
       continue;
     Rate.Parallel += grantedUnits(Node, slotResource(Name));
-    Rate.Typical += Target.Typical;
+    Rate.Typical += Target.SmoothedDuration;
     ++Count;
   }
   Rate.Typical /= std::max<std::int64_t>(Count, 1);
@@ -106,7 +106,7 @@
   target_state *Best = nullptr;
   for (auto &[Name, Target] : Node.Targets) {
     if (Target.Service != Request.Service ||
-        !takesWork(Target, Node.Settings.Targets, Now))
+        !acceptsWork(Target, Node.Settings.Targets, Now))
       continue;
     if (!fits(Node, unitsFor(Node, Request, Name), Now, MissingResources))
       continue;
@@ -123,7 +123,7 @@
   // One loan request per resource at a time; a lender without idle units does
   // not reply.
   if (Node.Peers.empty() ||
-      Node.Budget.Requested.size() > MissingResources.size())
+      Node.Budget.LoansRequested.size() > MissingResources.size())
     return;
   for (const std::string &Resource : MissingResources) {
     const std::string &Peer = Node.Peers[Node.NextLender++ % Node.Peers.size()];
@@ -140,15 +140,15 @@
                  moment Moment, actions &Actions) {
   const work_request &Request = Item.Request;
   Item.Units = unitsFor(Node, Request, Target.Name);
-  takeUnits(Node.Budget, Item.Units, Moment.Now);
+  acquireUnits(Node.Budget, Item.Units, Moment.Now);
   Item.Target = Target.Name;
   Node.StalledSince.erase(Request.Service);
   ++Item.Attempts;
   ++Target.InFlight;
-  Item.ToldDeadline =
-      std::min(Request.Deadline, Moment.Now + Node.Settings.MaxWork);
+  Item.BackendDeadline =
+      std::min(Request.Deadline, Moment.Now + Node.Settings.MaxBackendDeadline);
   Actions.push_back(send_to_target{Request.Token, Target.Name, Target.Address,
-                                   Item.ToldDeadline});
+                                   Item.BackendDeadline});
 }
 
 static bool isLink(const std::string &Resource) {
--- a/Libraries/Gateway/gateway.cpp
+++ b/Libraries/Gateway/gateway.cpp
@@ -46,7 +46,7 @@
   auto [Found, IsNew] = Node.Targets.try_emplace(Settings.Name);
   target_state &Target = Found->second;
   if (IsNew)
-    Target.Since = Now;
+    Target.AvailableSince = Now;
   Target.Name = Settings.Name;
   Target.Site = Settings.Site;
   Target.Service = Settings.Service;
@@ -54,7 +54,7 @@
   Target.Slots = Settings.Slots;
   // The list lags and may lie: it can say that a target leaves, but not that
   // one comes back which itself said that it leaves.
-  Target.Leaving = Target.Leaving || Settings.Leaving;
+  Target.Draining = Target.Draining || Settings.Draining;
 }
 
 /// A target that is missing from the list accepts no new work. It stays in the
@@ -66,7 +66,7 @@
   for (const target_settings &Target : Listed)
     Present.insert(Target.Name);
   for (auto &[Name, Target] : Node.Targets)
-    Target.Leaving = Target.Leaving || !Present.contains(Name);
+    Target.Draining = Target.Draining || !Present.contains(Name);
   std::erase_if(Node.Targets, [&](const auto &Entry) {
     return !Present.contains(Entry.first) && Entry.second.InFlight == 0;
   });
@@ -97,28 +97,28 @@
   void operator()(const request_cancelled &Event) const {
     gateway::handleCancel(Node, Event.Token, Actions);
   }
-  void operator()(const seal_asked &Event) const {
+  void operator()(const seal_requested &Event) const {
     gateway::handleSealRequest(Node, Event, Moment, Actions);
   }
-  void operator()(const target_ended &Event) const {
+  void operator()(const attempt_ended &Event) const {
     gateway::handleTargetEnded(Node, Event, Moment, Actions);
   }
   void operator()(const peer_message_arrived &Event) const {
     gateway::handlePeerMessage(Node, Event, Moment, Actions);
   }
-  void operator()(const record_seen &Event) const {
-    observeRecord(Node.Budget, Event.Record);
+  void operator()(const record_received &Event) const {
+    applyRecord(Node.Budget, Event.Record);
     gateway::sendAllQueued(Node, Moment, Actions);
   }
-  void operator()(const record_update_answered &Event) const {
-    updateAnswered(Node.Budget, Event.Proposed, Event.Result, Event.NewVersion,
-                   Moment.Now);
+  void operator()(const record_update_completed &Event) const {
+    handleUpdateResult(Node.Budget, Event.Proposed, Event.Result,
+                       Event.NewVersion, Moment.Now);
     gateway::sendAllQueued(Node, Moment, Actions);
   }
   void operator()(const site_changed &Event) const {
     applySite(Node, Event, Moment, Actions);
   }
-  void operator()(const target_leaving &Event) const {
+  void operator()(const target_draining &Event) const {
     gateway::markTargetDraining(Node, Event.Target, true, Actions);
   }
   void operator()(const peers_changed &Event) const {
@@ -128,7 +128,7 @@
     gateway::handleWitnessUnreachable(Node, Event.Id, Actions);
   }
   void operator()(const holder_dead &Event) const {
-    observeDeath(Node.Budget, Event.Id, Moment.Now);
+    recordHolderDeath(Node.Budget, Event.Id, Moment.Now);
   }
   void operator()(const drain_changed &Event) const {
     Node.Draining = Event.Draining || Event.ShuttingDown;
@@ -153,7 +153,7 @@
 /// send many requests to a server that is probably still down.
 static std::int64_t freeSlots(const gateway_node &Node,
                               const target_state &Target, instant Now) {
-  if (!takesWork(Target, Node.Settings.Targets, Now))
+  if (!acceptsWork(Target, Node.Settings.Targets, Now))
     return 0;
   const std::int64_t Free =
       availableUnits(Node.Budget, slotResource(Target.Name), Now);
@@ -168,7 +168,7 @@
   Offer.Gateway = Node.Settings.Id;
   Offer.FailureDomain = Node.Settings.FailureDomain;
   Offer.PredictedWait = gateway::predictedWait(Node, Service);
-  Offer.Heard = Now;
+  Offer.ReceivedAt = Now;
   std::int64_t Free = 0;
   for (const auto &[Name, Target] : Node.Targets)
     if (Target.Service == Service)
@@ -190,13 +190,14 @@
   return Offer;
 }
 
-bool hasLeft(const gateway_node &Node) {
-  return Node.ShuttingDown && Node.Work.empty() && Node.Lingering.empty() &&
+bool hasShutDown(const gateway_node &Node) {
+  return Node.ShuttingDown && Node.Work.empty() &&
+         Node.UnconfirmedWork.empty() &&
          !Node.Budget.Record.Shares.contains(Node.Settings.Id);
 }
 
 std::int64_t workInProgress(const gateway_node &Node) {
-  auto Count = static_cast<std::int64_t>(Node.Lingering.size());
+  auto Count = static_cast<std::int64_t>(Node.UnconfirmedWork.size());
   for (const auto &[Token, Item] : Node.Work)
     Count += Item.Target.empty() ? 0 : 1;
   return Count;
--- a/Libraries/Gateway/gateway.h
+++ b/Libraries/Gateway/gateway.h
@@ -69,7 +69,7 @@
   std::string Service;
   std::string Address;
   std::int64_t Slots = 1;
-  bool Leaving = false;
+  bool Draining = false;
 };
 
 /// Settings of a gateway node.
@@ -84,25 +84,25 @@
   target_policy Targets;
   retry_budget Retries;
   /// Longest deadline that is sent to a backend server.
-  duration MaxWork = std::chrono::seconds(120);
+  duration MaxBackendDeadline = std::chrono::seconds(120);
   /// Added to the deadline sent to the backend server before unconfirmed work
   /// counts as ended.
-  duration EndMargin = std::chrono::seconds(2);
+  duration CompletionMargin = std::chrono::seconds(2);
   /// Interval of retries of the request to the witness.
-  duration WitnessRepeat = std::chrono::milliseconds(100);
+  duration WitnessRetryInterval = std::chrono::milliseconds(100);
   /// A request is given up when its witness has not responded within this time:
   /// the caller may still have time for another home.
-  duration WitnessLimit = std::chrono::milliseconds(1'000);
+  duration WitnessTimeout = std::chrono::milliseconds(1'000);
   /// Base of the Retry-After time in refusals.
   duration RetryAfter = std::chrono::seconds(1);
   /// Requests wait this long, for a loan or for the share of a dead holder,
   /// while no work is in progress here whose end would free units. Equals the
   /// base of RetryAfter: as long as a refused caller waits before it retries.
-  duration StallLimit = std::chrono::seconds(1);
+  duration StallTimeout = std::chrono::seconds(1);
   /// After a stalled wait, requests are refused immediately for this long; then
   /// some requests wait again. Uses the same base as RetryAfter, so that a
   /// caller that retries is not refused on outdated state.
-  duration StallMemory = std::chrono::seconds(1);
+  duration StallRefusalPeriod = std::chrono::seconds(1);
 };
 
 // Events.
@@ -118,13 +118,13 @@
 
 /// Requests the result of a key from this node, as its witness, because the
 /// owner is unreachable.
-struct seal_asked {
+struct seal_requested {
   std::uint64_t Token = 0;
   std::string Key;
 };
 
 /// How an attempt at a target ended.
-enum class target_end : std::uint8_t {
+enum class attempt_end : std::uint8_t {
   /// The complete response was received and belongs to this request.
   Completed,
   /// Proved not executed: connection refused.
@@ -133,21 +133,21 @@
   Shed,
   /// No complete response; the request may have been executed and may still be
   /// running.
-  Broken,
+  Interrupted,
   /// The backend server confirmed that it has stopped the request.
   Stopped,
 };
 
-struct target_ended {
+struct attempt_ended {
   std::uint64_t Token = 0;
-  target_end End = target_end::Broken;
+  target_end End = target_end::Interrupted;
   duration Elapsed{};
   /// Whether a part of the answer has reached the caller already.
   bool Streamed = false;
   /// The backend server reported that it is draining.
-  bool Leaving = false;
+  bool Draining = false;
   /// Stored for retries of non-idempotent work.
-  stored_answer Answer;
+  stored_response Response;
 };
 
 /// Request of the owner to its witness to record a key.
@@ -163,12 +163,12 @@
 
 /// A target reported that it is draining. The node that receives the report
 /// notifies the other nodes of the site.
-struct leaving_notice {
+struct draining_notice {
   std::string Target;
 };
 
 using peer_message =
-    std::variant<loan_message, witness_record, witness_reply, leaving_notice>;
+    std::variant<loan_message, witness_record, witness_reply, draining_notice>;
 
 struct peer_message_arrived {
   std::string From;
@@ -176,11 +176,11 @@
 };
 
 /// The site's pool record was received, by a read or a watch.
-struct record_seen {
+struct record_received {
   pool_record Record;
 };
 
-struct record_update_answered {
+struct record_update_completed {
   pool_record Proposed;
   update_result Result = update_result::Uncertain;
   std::int64_t NewVersion = 0;
@@ -192,7 +192,7 @@
 };
 
 /// A health check reported that a target is draining.
-struct target_leaving {
+struct target_draining {
   std::string Target;
 };
 
@@ -223,10 +223,11 @@
 struct clock_tick {};
 
 using gateway_event =
-    std::variant<request_arrived, request_cancelled, seal_asked, target_ended,
-                 peer_message_arrived, record_seen, record_update_answered,
-                 site_changed, target_leaving, peers_changed, peer_unreachable,
-                 holder_dead, drain_changed, clock_tick>;
+    std::variant<request_arrived, request_cancelled, seal_requested,
+                 attempt_ended, peer_message_arrived, record_received,
+                 record_update_completed, site_changed, target_draining,
+                 peers_changed, peer_unreachable, holder_dead, drain_changed,
+                 clock_tick>;
 
 // Actions.
 
@@ -248,7 +249,7 @@
   outcome Outcome = outcome::Refused;
   std::string Reason;
   duration RetryAfter{};
-  stored_answer Answer;
+  stored_response Response;
 };
 
 struct send_to_peer {
@@ -276,15 +277,15 @@
   std::string Target;
   std::int32_t Attempts = 0;
   std::vector<resource_amount> Units;
-  instant ToldDeadline{};
-  instant WitnessFirstAsked{};
-  instant WitnessAsked{};
+  instant BackendDeadline{};
+  instant FirstWitnessRequest{};
+  instant LastWitnessRequest{};
   bool Cancelled = false;
 };
 
 /// Work whose end is not confirmed: its units stay in use until the deadline
 /// sent to the backend server has passed.
-struct lingering_work {
+struct unconfirmed_work {
   std::string Target;
   std::vector<resource_amount> Units;
   instant Until{};
@@ -300,7 +301,7 @@
   owner_table Owned;
   witness_table Witnessed;
   std::unordered_map<std::uint64_t, work_item> Work;
-  std::vector<lingering_work> Lingering;
+  std::vector<unconfirmed_work> UnconfirmedWork;
   std::vector<std::string> Peers;
   std::vector<std::string> Witnesses;
   std::size_t NextLender = 0;
@@ -325,7 +326,7 @@
                 instant Now);
 
 /// Whether a node that is shutting down has no work, no loans and no row left.
-bool hasLeft(const gateway_node &Node);
+bool hasShutDown(const gateway_node &Node);
 
 /// Number of requests that were sent and have not provably ended.
 std::int64_t workInProgress(const gateway_node &Node);
--- a/Libraries/Gateway/node.h
+++ b/Libraries/Gateway/node.h
@@ -11,7 +11,7 @@
 void handleArrival(gateway_node &Node, const request_arrived &Event,
                    moment Moment, actions &Actions);
 void handleCancel(gateway_node &Node, std::uint64_t Token, actions &Actions);
-void handleSealRequest(gateway_node &Node, const seal_asked &Event,
+void handleSealRequest(gateway_node &Node, const seal_requested &Event,
                        moment Moment, actions &Actions);
 
 // dispatch.cpp
@@ -38,7 +38,7 @@
 /// Ends one request without a response from a target.
 void abandonRequest(gateway_node &Node, std::uint64_t Token,
                     const std::string &Reason, actions &Actions);
-void handleTargetEnded(gateway_node &Node, const target_ended &Event,
+void handleTargetEnded(gateway_node &Node, const attempt_ended &Event,
                        moment Moment, actions &Actions);
 void releaseUnconfirmedWork(gateway_node &Node, instant Now);
 
--- a/Libraries/Gateway/peers.cpp
+++ b/Libraries/Gateway/peers.cpp
@@ -5,9 +5,9 @@
 namespace amaranthhoist::gateway {
 
 void requestWitnessRecord(work_item &Item, moment Moment, actions &Actions) {
-  if (Item.WitnessFirstAsked == instant{})
-    Item.WitnessFirstAsked = Moment.Now;
-  Item.WitnessAsked = Moment.Now;
+  if (Item.FirstWitnessRequest == instant{})
+    Item.FirstWitnessRequest = Moment.Now;
+  Item.LastWitnessRequest = Moment.Now;
   Actions.push_back(
       send_to_peer{Item.Home.Witness,
                    witness_record{Item.Request.Key, Item.Home.ExpiresAtMs}});
@@ -32,7 +32,7 @@
   const std::string Service = Item->Request.Service;
   const bool WasRecording =
       Node.Owned.Keys.at(Reply.Key).State == key_state::Recording;
-  if (!witnessAnswered(Node.Owned, Reply.Key, Reply.Recorded)) {
+  if (!applyWitnessReply(Node.Owned, Reply.Key, Reply.Recorded)) {
     // Sealed while the request was queued: another party has already received
     // "not run" for this key, so it must never be executed.
     if (WasRecording) {
@@ -70,7 +70,7 @@
                         Node.Settings.Keys, Moment.WallMs);
     Actions.push_back(send_to_peer{From, witness_reply{Message.Key, Recorded}});
   }
-  void operator()(const leaving_notice &Message) const {
+  void operator()(const draining_notice &Message) const {
     markTargetDraining(Node, Message.Target, false, Actions);
   }
   void operator()(const witness_reply &Message) const {
@@ -140,10 +140,11 @@
     work_item &Item = Node.Work.at(Token);
     const instant Until =
         std::min(Item.Request.Deadline,
-                 Item.WitnessFirstAsked + Node.Settings.WitnessLimit);
+                 Item.FirstWitnessRequest + Node.Settings.WitnessTimeout);
     if (Moment.Now >= Until)
       abandonUnsentRequest(Node, Token, "the witness did not answer", Actions);
-    else if (Moment.Now >= Item.WitnessAsked + Node.Settings.WitnessRepeat)
+    else if (Moment.Now >=
+             Item.LastWitnessRequest + Node.Settings.WitnessRetryInterval)
       requestWitnessRecord(Item, Moment, Actions);
   }
 }
@@ -151,12 +152,12 @@
 static void planRecord(gateway_node &Node, moment Moment, actions &Actions) {
   if (Node.Budget.Limits.empty())
     return;
-  const bool Idle = Node.Work.empty() && Node.Lingering.empty();
+  const bool Idle = Node.Work.empty() && Node.UnconfirmedWork.empty();
   std::optional<pool_record> Next;
   if (!Node.ShuttingDown)
     Next = planUpdate(Node.Budget, Node.Settings.Budget, Moment.Now);
   else if (Idle)
-    Next = planLeave(Node.Budget, Node.Settings.Budget, Moment.Now);
+    Next = planRowRemoval(Node.Budget, Node.Settings.Budget, Moment.Now);
   if (Next)
     Actions.push_back(write_record{*Next});
 }
@@ -166,7 +167,8 @@
   releaseUnconfirmedWork(Node, Moment.Now);
   expireKeys(Node.Owned, Node.Settings.Keys, Moment.WallMs);
   expireKeys(Node.Witnessed, Node.Settings.Keys, Moment.WallMs);
-  for (auto &Message : loanTick(Node.Budget, Node.Settings.Budget, Moment.Now))
+  for (auto &Message :
+       maintainLoans(Node.Budget, Node.Settings.Budget, Moment.Now))
     Actions.push_back(send_to_peer{Message.To, Message.Message});
   planRecord(Node, Moment, Actions);
   sendAllQueued(Node, Moment, Actions);
--- a/Libraries/Gateway/prospects.cpp
+++ b/Libraries/Gateway/prospects.cpp
@@ -8,7 +8,7 @@
   return std::none_of(
       Node.Targets.begin(), Node.Targets.end(), [&](const auto &Entry) {
         const target_state &Target = Entry.second;
-        return Target.Service == Service && !Target.Leaving && !Target.Down;
+        return Target.Service == Service && !Target.Draining && !Target.Down;
       });
 }
 
@@ -19,10 +19,10 @@
   std::int64_t InFlight = 0;
   for (const auto &[Name, Target] : Node.Targets)
     InFlight += Target.InFlight;
-  const instant Horizon = Now + Node.Settings.StallLimit;
+  const instant Horizon = Now + Node.Settings.StallTimeout;
   const auto EndsLater = std::count_if(
-      Node.Lingering.begin(), Node.Lingering.end(),
-      [Horizon](const lingering_work &Work) { return Work.Until > Horizon; });
+      Node.UnconfirmedWork.begin(), Node.UnconfirmedWork.end(),
+      [Horizon](const unconfirmed_work &Work) { return Work.Until > Horizon; });
   return InFlight > EndsLater;
 }
 
@@ -31,8 +31,8 @@
   auto Since = Node.StalledSince.find(Service);
   if (Since == Node.StalledSince.end() || hasWorkInProgress(Node, Now))
     return false;
-  const instant Detected = Since->second + Node.Settings.StallLimit;
-  return Now >= Detected && Now < Detected + Node.Settings.StallMemory;
+  const instant Detected = Since->second + Node.Settings.StallTimeout;
+  return Now >= Detected && Now < Detected + Node.Settings.StallRefusalPeriod;
 }
 
 static void updateStall(gateway_node &Node, const std::string &Service,
@@ -43,7 +43,7 @@
   }
   const auto [Since, IsNew] = Node.StalledSince.try_emplace(Service, Now);
   const duration StallCycle =
-      Node.Settings.StallLimit + Node.Settings.StallMemory;
+      Node.Settings.StallTimeout + Node.Settings.StallRefusalPeriod;
   if (!IsNew && Now >= Since->second + StallCycle)
     Since->second = Now;
 }
--- a/Libraries/History/history.cpp
+++ b/Libraries/History/history.cpp
@@ -108,7 +108,7 @@
 }
 
 static void checkAnswers(const history &History, violations &Found) {
-  for (const told_answer &Told : History.Told) {
+  for (const reported_outcome &Told : History.Outcomes) {
     if (Told.Outcome != outcome::Answered)
       continue;
     if (Told.ContentOf != Told.Operation)
@@ -127,7 +127,7 @@
   for (const recorded_execution &Execution : History.Executions)
     if (!Execution.Key.empty())
       ByKey[Execution.Key].push_back(&Execution);
-  for (const told_answer &Told : History.Told) {
+  for (const reported_outcome &Told : History.Outcomes) {
     auto Ran = ByKey.find(Told.Key);
     if (Told.Outcome == outcome::NotRun && Ran != ByKey.end())
       Found.push_back({promise::NotRun, Told.At,
--- a/Libraries/History/history.h
+++ b/Libraries/History/history.h
@@ -27,7 +27,7 @@
 std::string_view toString(promise Promise);
 
 /// A caller's request and its final outcome.
-struct told_answer {
+struct reported_outcome {
   instant At{};
   std::string Operation;
   /// Empty for idempotent work.
@@ -43,7 +43,7 @@
 enum class execution_end : std::uint8_t {
   Completed,
   /// The caller disconnected or its deadline passed.
-  CallerLeft,
+  CallerDisconnected,
   /// The backend server itself failed, or a process died.
   Fault,
   /// The system cancelled it.
@@ -93,7 +93,7 @@
 };
 
 struct history {
-  std::vector<told_answer> Told;
+  std::vector<reported_outcome> Outcomes;
   std::vector<recorded_execution> Executions;
   std::map<std::string, site_limits> Sites;
   std::map<std::string, std::int64_t> TargetSlots;
--- a/Libraries/Keys/keys.cpp
+++ b/Libraries/Keys/keys.cpp
@@ -91,8 +91,8 @@
   return key_verdict::Admit;
 }
 
-bool witnessAnswered(owner_table &Table, const std::string &Key,
-                     bool Recorded) {
+bool applyWitnessReply(owner_table &Table, const std::string &Key,
+                       bool Recorded) {
   auto Found = Table.Keys.find(Key);
   if (Found == Table.Keys.end() || Found->second.State != key_state::Recording)
     return false;
@@ -116,16 +116,16 @@
 }
 
 std::vector<std::uint64_t> closeKey(owner_table &Table, const std::string &Key,
-                                    key_state State, stored_answer Answer) {
+                                    key_state State, stored_response Answer) {
   auto Found = Table.Keys.find(Key);
   if (Found == Table.Keys.end())
     return {};
   Found->second.State = State;
-  Found->second.Answer = std::move(Answer);
+  Found->second.Response = std::move(Answer);
   return std::exchange(Found->second.Waiters, {});
 }
 
-void forgetWaiter(owner_table &Table, const std::string &Key,
+void removeWaiter(owner_table &Table, const std::string &Key,
                   std::uint64_t Waiter) {
   auto Found = Table.Keys.find(Key);
   if (Found != Table.Keys.end())
--- a/Libraries/Keys/keys.h
+++ b/Libraries/Keys/keys.h
@@ -48,7 +48,7 @@
 result<parsed_key> parseKey(std::string_view Key);
 
 /// A response stored for retries of the same key.
-struct stored_answer {
+struct stored_response {
   int Status = 0;
   std::string ContentType;
   std::string Body;
@@ -74,7 +74,7 @@
 struct owned_key {
   key_state State = key_state::Recording;
   std::int64_t ExpiresAtMs = 0;
-  stored_answer Answer;
+  stored_response Response;
   /// Requests that wait for the result: the first one and its retries.
   std::vector<std::uint64_t> Waiters;
 };
@@ -86,7 +86,7 @@
   /// Maximum delay of a copy of a request, including clock skew.
   std::int64_t MaxDelayMs = 60'000;
   /// Larger responses are not stored for retries.
-  std::size_t MaxAnswerBytes = 65'536;
+  std::size_t MaxResponseBytes = 65'536;
 };
 
 /// One shard of the keys that this incarnation owns.
@@ -128,7 +128,8 @@
 /// Handles the reply of the witness: it has confirmed the record, or rejected
 /// it (the key is sealed, or its table is full). Returns whether the key may
 /// now be sent; after a rejection the caller closes the key.
-bool witnessAnswered(owner_table &Table, const std::string &Key, bool Recorded);
+bool applyWitnessReply(owner_table &Table, const std::string &Key,
+                       bool Recorded);
 
 /// Marks \p Key as sent. Returns false, and the caller must not send, unless
 /// the key is recorded and was not sent or closed before.
@@ -141,10 +142,11 @@
 
 /// Closes \p Key with \p State and returns the requests that wait for it.
 std::vector<std::uint64_t> closeKey(owner_table &Table, const std::string &Key,
-                                    key_state State, stored_answer Answer = {});
+                                    key_state State,
+                                    stored_response Answer = {});
 
 /// Removes a waiter that disconnected; the key itself stays in progress.
-void forgetWaiter(owner_table &Table, const std::string &Key,
+void removeWaiter(owner_table &Table, const std::string &Key,
                   std::uint64_t Waiter);
 
 /// Records, at the owner's request, that \p Key may have been executed. Returns
--- a/Libraries/Objects/objects.cpp
+++ b/Libraries/Objects/objects.cpp
@@ -91,7 +91,7 @@
   const json Document = {
       {"name", Target.Name},       {"site", Target.Site},
       {"service", Target.Service}, {"address", Target.Address},
-      {"slots", Target.Slots},     {"leaving", Target.Leaving}};
+      {"slots", Target.Slots},     {"leaving", Target.Draining}};
   return Document.dump();
 }
 
@@ -103,7 +103,7 @@
     Target.Service = Document.at("service").get<std::string>();
     Target.Address = Document.at("address").get<std::string>();
     Target.Slots = Document.at("slots").get<std::int64_t>();
-    Target.Leaving = Document.value("leaving", false);
+    Target.Draining = Document.value("leaving", false);
     return Target;
   });
 }
@@ -209,8 +209,8 @@
   return Found->second.Version > Name->Incarnation;
 }
 
-drains_in_force drainsOf(const object_view &View) {
-  drains_in_force Drains;
+active_drains activeDrains(const object_view &View) {
+  active_drains Drains;
   for (const item *Item : itemsOf(View, kinds::Drain)) {
     const result<drain_record> Drain = parseDrain(Item->Value);
     if (!Drain)
--- a/Libraries/Objects/objects.h
+++ b/Libraries/Objects/objects.h
@@ -106,11 +106,11 @@
 bool isProvedDead(const object_view &View, std::string_view NodeId);
 
 /// The targets, sites and instances that operators are draining now.
-struct drains_in_force {
+struct active_drains {
   std::vector<std::string> Targets;
   std::vector<std::string> Sites;
   std::vector<std::string> Instances;
 };
-drains_in_force drainsOf(const object_view &View);
+active_drains activeDrains(const object_view &View);
 
 } // namespace amaranthhoist
--- a/Libraries/Protocol/protocol.cpp
+++ b/Libraries/Protocol/protocol.cpp
@@ -63,7 +63,7 @@
     Entry.Offer.PredictedWait = duration(Item.getPredictedWaitUs());
     Entry.Offer.Suspect = Item.getDraining();
     Entry.Offer.FailureDomain = toString(Item.getFailureDomain());
-    Entry.Offer.Heard = Now;
+    Entry.Offer.ReceivedAt = Now;
     Offers.push_back(std::move(Entry));
   }
   return Offers;
@@ -91,7 +91,7 @@
     Reply.setReplyKey(Message.Key);
     Reply.setRecorded(Message.Recorded);
   }
-  void operator()(const leaving_notice &Message) {
+  void operator()(const draining_notice &Message) {
     Builder.setLeaving(Message.Target);
   }
 };
@@ -123,7 +123,7 @@
     return witness_reply{toString(Reader.getWitnessReply().getReplyKey()),
                          Reader.getWitnessReply().getRecorded()};
   case wire::PeerMessage::LEAVING:
-    return leaving_notice{toString(Reader.getLeaving())};
+    return draining_notice{toString(Reader.getLeaving())};
   }
   return witness_reply{};
 }
--- a/Libraries/Routing/routing.cpp
+++ b/Libraries/Routing/routing.cpp
@@ -6,7 +6,8 @@
 
 static bool isStale(const offer &Offer, const routing_policy &Policy,
                     instant Now) {
-  return Offer.Heard == instant{} || Now - Offer.Heard > Policy.StaleAfter;
+  return Offer.ReceivedAt == instant{} ||
+         Now - Offer.ReceivedAt > Policy.StaleAfter;
 }
 
 duration offerCost(const offer &Offer, std::string_view Customer,
@@ -96,16 +97,16 @@
 /// once.
 static std::int64_t currentSlots(const target_state &Target,
                                  const target_policy &Policy, instant Now) {
-  const duration Age = Now - Target.Since;
+  const duration Age = Now - Target.AvailableSince;
   if (Age >= Policy.WarmUp)
     return Target.Slots;
   const std::int64_t Part = Age >= Policy.WarmUp / 2 ? 2 : 4;
   return std::max<std::int64_t>(1, Target.Slots / Part);
 }
 
-bool takesWork(const target_state &Target, const target_policy &Policy,
-               instant Now) {
-  if (Target.Leaving || Target.InFlight >= currentSlots(Target, Policy, Now))
+bool acceptsWork(const target_state &Target, const target_policy &Policy,
+                 instant Now) {
+  if (Target.Draining || Target.InFlight >= currentSlots(Target, Policy, Now))
     return false;
   if (Target.Failures < Policy.MaxFailures)
     return true;
@@ -118,15 +119,15 @@
                     static_cast<double>(Target.Slots);
   if (Policy.Choice == target_choice::Load)
     return Busy;
-  return Busy * static_cast<double>(Target.Typical.count());
+  return Busy * static_cast<double>(Target.SmoothedDuration.count());
 }
 
-void noteTargetResult(target_state &Target, const target_policy &Policy,
-                      bool Healthy, duration Elapsed, instant Now) {
+void recordTargetResult(target_state &Target, const target_policy &Policy,
+                        bool Healthy, duration Elapsed, instant Now) {
   if (Healthy) {
     Target.Failures = 0;
     Target.Down = false;
-    Target.Typical = (Target.Typical * 7 + Elapsed) / 8;
+    Target.SmoothedDuration = (Target.SmoothedDuration * 7 + Elapsed) / 8;
     return;
   }
   const bool WasHalfOpen =
@@ -137,7 +138,8 @@
     Target.QuarantinedUntil = Now + Policy.Quarantine;
 }
 
-void noteNotReached(target_state &Target, const target_policy &Policy) {
+void recordConnectionRefused(target_state &Target,
+                             const target_policy &Policy) {
   Target.Down = Target.Down || Target.Failures >= Policy.MaxFailures;
 }
 
--- a/Libraries/Routing/routing.h
+++ b/Libraries/Routing/routing.h
@@ -25,7 +25,7 @@
   /// One-way latency from this entry, from the region settings.
   duration LinkLatency{};
   /// Time of receipt; the default value means never.
-  instant Heard{};
+  instant ReceivedAt{};
   /// The last use of the offer failed, or the site is draining: used only as a
   /// last resort.
   bool Suspect = false;
@@ -81,7 +81,7 @@
   std::int64_t InFlight = 0;
   /// Draining, as reported by the target list, a health check, a header or a
   /// refusal: gets no new work.
-  bool Leaving = false;
+  bool Draining = false;
   /// Consecutive failures; the target is quarantined when they reach
   /// MaxFailures.
   std::int32_t Failures = 0;
@@ -93,9 +93,9 @@
   bool Down = false;
   /// Time at which the target became available; until it is warm it accepts
   /// fewer requests.
-  instant Since{};
+  instant AvailableSince{};
   /// Smoothed duration of a request.
-  duration Typical = std::chrono::milliseconds(20);
+  duration SmoothedDuration = std::chrono::milliseconds(20);
 };
 
 /// Cost function of the target selection.
@@ -117,8 +117,8 @@
 };
 
 /// Whether \p Target accepts one more request at \p Now.
-bool takesWork(const target_state &Target, const target_policy &Policy,
-               instant Now);
+bool acceptsWork(const target_state &Target, const target_policy &Policy,
+                 instant Now);
 
 /// Cost of a target from its busy slots and, with LoadAndSpeed, its speed;
 /// lower is better. Uses this gateway's own counts only: a reported load may be
@@ -126,11 +126,11 @@
 double targetCost(const target_state &Target, const target_policy &Policy);
 
 /// Records the result of a request at \p Target.
-void noteTargetResult(target_state &Target, const target_policy &Policy,
-                      bool Healthy, duration Elapsed, instant Now);
+void recordTargetResult(target_state &Target, const target_policy &Policy,
+                        bool Healthy, duration Elapsed, instant Now);
 
 /// Records that a request could not be sent at all. Call it after recording the
 /// result of the request.
-void noteNotReached(target_state &Target, const target_policy &Policy);
+void recordConnectionRefused(target_state &Target, const target_policy &Policy);
 
 } // namespace amaranthhoist
--- a/Services/Entry/entry_daemon.cpp
+++ b/Services/Entry/entry_daemon.cpp
@@ -126,7 +126,7 @@
 void entry_daemon::perform(entry_shard &Shard, const entry_action &Action) {
   if (const auto *Forward = std::get_if<forward_request>(&Action))
     forward(Shard, *Forward);
-  else if (const auto *Ask = std::get_if<ask_witness>(&Action))
+  else if (const auto *Ask = std::get_if<query_witness>(&Action))
     queryWitness(Shard, *Ask);
   else if (const auto *Finish = std::get_if<finish_caller>(&Action))
     finish(*Finish);
@@ -225,11 +225,12 @@
       Received.Rest = Answer.getRest();
     Found->second->Response = std::move(Received);
   }
-  step(Shard, gateway_answered{Token, Outcome, toString(Answer.getReason()),
-                               duration(Answer.getRetryAfterUs())});
+  step(Shard, gateway_responded{Token, Outcome, toString(Answer.getReason()),
+                                duration(Answer.getRetryAfterUs())});
 }
 
-void entry_daemon::queryWitness(entry_shard &Shard, const ask_witness &Action) {
+void entry_daemon::queryWitness(entry_shard &Shard,
+                                const query_witness &Action) {
   auto Found = Requests.find(Action.Token);
   if (Found == Requests.end())
     return;
@@ -255,8 +256,8 @@
                   step(Shard, witness_failed{Token});
                 else
                   step(Shard,
-                       witness_answered{Token, fromWire(Answer.getOutcome()),
-                                        duration(Answer.getRetryAfterUs())});
+                       witness_responded{Token, fromWire(Answer.getOutcome()),
+                                         duration(Answer.getRetryAfterUs())});
               },
               [this, &Shard, Token](kj::Exception &&) {
                 step(Shard, witness_failed{Token});
@@ -303,7 +304,7 @@
   // Waits for the loop: the caller's thread reads the response afterwards.
   Loop.run([&] {
     const std::uint64_t Token = Request->Request.Token;
-    step(shardOf(Request->Request.Customer), caller_left{Token});
+    step(shardOf(Request->Request.Customer), caller_disconnected{Token});
     if (Requests.erase(Token) != 0)
       --InProgress;
     replaceCall(*Request, nullptr);
@@ -323,7 +324,7 @@
 void entry_daemon::applyOffers(capnp::List<wire::Offer>::Reader Offers) {
   const instant Now = currentInstant();
   for (const service_offer &Offer : readOffers(Offers, Now)) {
-    stepAll(offer_heard{Offer.Service, Offer.Offer});
+    stepAll(offer_received{Offer.Service, Offer.Offer});
     const auto Name = splitNodeId(Offer.Offer.Gateway);
     auto Gateway = Name ? Gateways.find(Name->Instance) : Gateways.end();
     if (Gateway != Gateways.end())
@@ -396,7 +397,7 @@
           offerCost(*Offer, Customer, Preferred, Node.Settings.Routing, Now)
               .count()},
          {"age_ms", std::chrono::duration_cast<std::chrono::milliseconds>(
-                        Now - Offer->Heard)
+                        Now - Offer->ReceivedAt)
                         .count()},
          {"suspect", Offer->Suspect}});
   return Result.dump();
--- a/Services/Entry/entry_daemon.h
+++ b/Services/Entry/entry_daemon.h
@@ -136,7 +136,7 @@
   void stepAll(const entry_event &Event);
   void perform(entry_shard &Shard, const entry_action &Action);
   void forward(entry_shard &Shard, const forward_request &Action);
-  void queryWitness(entry_shard &Shard, const ask_witness &Action);
+  void queryWitness(entry_shard &Shard, const query_witness &Action);
   void finish(const finish_caller &Action);
   void replaceCall(entry_request &Held, kj::Maybe<kj::Promise<void>> Fresh);
   void handleResponse(entry_shard &Shard, std::uint64_t Token,
--- a/Services/Entry/entry_view.cpp
+++ b/Services/Entry/entry_view.cpp
@@ -52,7 +52,7 @@
 }
 
 void entry_daemon::applyEntries(const view_change &Change) {
-  const drains_in_force Drains = drainsOf(Change.View);
+  const active_drains Drains = activeDrains(Change.View);
   const std::set<std::string> Drained(Drains.Instances.begin(),
                                       Drains.Instances.end());
   std::vector<named_entry> Named;
--- a/Services/Gateway/gateway_daemon.cpp
+++ b/Services/Gateway/gateway_daemon.cpp
@@ -152,7 +152,7 @@
   Answer.Outcome = Action.Outcome;
   Answer.Reason = std::move(Action.Reason);
   Answer.RetryAfter = Action.RetryAfter;
-  Answer.Response = std::move(Action.Answer);
+  Answer.Response = std::move(Action.Response);
   Answer.Length = static_cast<std::int64_t>(Answer.Response.Body.size());
   Found->second.Fulfiller->fulfill(kj::mv(Answer));
   Waiting.erase(Found);
@@ -184,7 +184,7 @@
       objectKey(kinds::Pool, Shard.Node.Site.Name), formatPool(Proposed),
       Proposed.Version, false,
       [this, &Shard, Proposed](update_result Result, std::int64_t Version) {
-        step(Shard, record_update_answered{Proposed, Result, Version});
+        step(Shard, record_update_completed{Proposed, Result, Version});
       });
 }
 
@@ -198,7 +198,7 @@
       Payload = Found->second;
   }
   if (!Payload) {
-    step(Shard, target_ended{Action.Token, target_end::NotReached});
+    step(Shard, attempt_ended{Action.Token, target_end::NotReached});
     return;
   }
   Workers.submit(
@@ -243,12 +243,12 @@
   exchange_result Result = runExchange(Clients, Request);
   // A streamed request body can be read only once.
   const bool Consumed = Payload->Source.has_value();
-  target_ended Ended{Action.Token,
-                     Result.End,
-                     currentInstant() - Begin,
-                     Result.Streamed || Consumed,
-                     Result.Draining,
-                     std::move(Result.Response)};
+  attempt_ended Ended{Action.Token,
+                      Result.End,
+                      currentInstant() - Begin,
+                      Result.Streamed || Consumed,
+                      Result.Draining,
+                      std::move(Result.Response)};
   step(Shard, Ended);
 }
 
@@ -311,7 +311,7 @@
   const std::uint64_t Token = NextToken++;
   auto Paf = kj::newPromiseAndFulfiller<gateway_response>();
   Waiting[Token] = {kj::mv(Paf.fulfiller)};
-  step(*Shard, seal_asked{Token, Key});
+  step(*Shard, seal_requested{Token, Key});
   return kj::mv(Paf.promise);
 }
 
--- a/Services/Gateway/gateway_daemon.h
+++ b/Services/Gateway/gateway_daemon.h
@@ -29,7 +29,7 @@
   outcome Outcome = outcome::Refused;
   std::string Reason;
   duration RetryAfter{};
-  stored_answer Response;
+  stored_response Response;
   /// Length of the whole body in bytes, or -1 when unknown.
   std::int64_t Length = -1;
   /// Delivers the bytes that follow Response.Body.
--- a/Services/Gateway/gateway_view.cpp
+++ b/Services/Gateway/gateway_view.cpp
@@ -20,15 +20,16 @@
       static_cast<std::size_t>(Settings.Gateway.QueuePerCustomer);
   Node.Queue.MaxTotal = static_cast<std::size_t>(Settings.Gateway.QueueTotal);
   Node.Keys.MaxKeys = static_cast<std::size_t>(Settings.Gateway.MaxKeys);
-  Node.MaxWork = std::chrono::milliseconds(Settings.Gateway.MaxWorkMs);
-  Node.Budget.ReclaimDelay =
-      Node.MaxWork + Node.EndMargin + 4 * Node.Budget.LoanLease;
+  Node.MaxBackendDeadline =
+      std::chrono::milliseconds(Settings.Gateway.MaxWorkMs);
+  Node.Budget.ReclaimDelay = Node.MaxBackendDeadline + Node.CompletionMargin +
+                             4 * Node.Budget.LoanLease;
   return Node;
 }
 
 static std::vector<target_settings> targetsOf(const object_view &View,
                                               const std::string &Site) {
-  const drains_in_force Drains = drainsOf(View);
+  const active_drains Drains = activeDrains(View);
   std::vector<target_settings> Targets;
   for (const item *Item : itemsOf(View, kinds::Target)) {
     result<target_settings> Target = parseTarget(Item->Value);
@@ -36,7 +37,7 @@
       continue;
     const bool Drained = std::find(Drains.Targets.begin(), Drains.Targets.end(),
                                    Target->Name) != Drains.Targets.end();
-    Target->Leaving = Target->Leaving || Drained;
+    Target->Draining = Target->Draining || Drained;
     Targets.push_back(std::move(*Target));
   }
   return Targets;
@@ -133,7 +134,7 @@
             {{"site", Site}, {"reason", Record.error().Message}});
     return;
   }
-  step(Shard, record_seen{*Record});
+  step(Shard, record_received{*Record});
   for (const auto &[Holder, Row] : Record->Shares)
     if (isProvedDead(View, Holder))
       step(Shard, holder_dead{Holder});
@@ -141,7 +142,7 @@
 
 void gateway_daemon::applyDrains(node_shard &Shard, const std::string &Site,
                                  const object_view &View) {
-  const drains_in_force Drains = drainsOf(View);
+  const active_drains Drains = activeDrains(View);
   const auto Contains = [](const std::vector<std::string> &Names,
                            const std::string &Name) {
     return std::find(Names.begin(), Names.end(), Name) != Names.end();
@@ -173,14 +174,14 @@
     for (auto &[Site, Shard] : Shards) {
       const std::lock_guard NodeGuard(Shard->Lock);
       for (const auto &[Name, Target] : Shard->Node.Targets)
-        if (!Target.Leaving && isProber(Shard->Node, Name))
+        if (!Target.Draining && isProber(Shard->Node, Name))
           Probes.push_back({Shard.get(), Name, Target.Address});
     }
   }
   http_client Client;
   for (const probe &Probe : Probes)
     if (probeReportsDraining(Client, Probe.Address, Settings.Gateway.ProbePath))
-      step(*Probe.Shard, target_leaving{Probe.Target});
+      step(*Probe.Shard, target_draining{Probe.Target});
 }
 
 void gateway_daemon::logPendingShutdown() {
@@ -188,7 +189,7 @@
   for (const auto &[Site, Shard] : Shards) {
     const std::lock_guard NodeGuard(Shard->Lock);
     const gateway_node &Node = Shard->Node;
-    if (hasLeft(Node))
+    if (hasShutDown(Node))
       continue;
     const budget_holder &Budget = Node.Budget;
     const auto Count = [](const auto &Held) {
@@ -197,10 +198,10 @@
     logLine(log_level::Info, "still leaving",
             {{"site", Site},
              {"work", Count(Node.Work)},
-             {"work_of_unknown_end", Count(Node.Lingering)},
-             {"loans_given", Count(Budget.Given)},
-             {"loans_taken", Count(Budget.Taken)},
-             {"loans_returning", Count(Budget.Returning)},
+             {"work_of_unknown_end", Count(Node.UnconfirmedWork)},
+             {"loans_given", Count(Budget.LoansGiven)},
+             {"loans_taken", Count(Budget.LoansTaken)},
+             {"loans_returning", Count(Budget.LoansReturning)},
              {"record_version", std::to_string(Budget.Record.Version)},
              {"update_under_way", Budget.Pending ? "yes" : "no"}});
   }
@@ -224,7 +225,7 @@
   return {{"service", Target.Service},
           {"slots", Target.Slots},
           {"in_flight", Target.InFlight},
-          {"leaving", Target.Leaving},
+          {"leaving", Target.Draining},
           {"failures", Target.Failures}};
 }
 
--- a/Services/Gateway/target_exchange.cpp
+++ b/Services/Gateway/target_exchange.cpp
@@ -138,7 +138,7 @@
   }
   if (Request.Class == work_class::Idempotent && cancelAtTarget(Request))
     return target_end::Stopped;
-  return target_end::Broken;
+  return target_end::Interrupted;
 }
 
 exchange_result runExchange(client_pool &Clients,
--- a/Services/Gateway/target_exchange.h
+++ b/Services/Gateway/target_exchange.h
@@ -54,11 +54,11 @@
 };
 
 struct exchange_result {
-  target_end End = target_end::Broken;
+  target_end End = target_end::Interrupted;
   bool Streamed = false;
   bool Draining = false;
   /// The whole response, unless it was streamed.
-  stored_answer Response;
+  stored_response Response;
 };
 
 /// Runs the exchange. Blocks until it has ended.
--- a/Tests/Scheduler/world.cpp
+++ b/Tests/Scheduler/world.cpp
@@ -114,7 +114,7 @@
           const std::int64_t Incarnation = Process.Incarnation;
           after(latency() + milliseconds(draw(100)), [=, this] {
             onGateway(Number, Incarnation,
-                      [=, this] { stepNode(Number, record_seen{Seen}); });
+                      [=, this] { stepNode(Number, record_received{Seen}); });
           });
         }
         stepNode(Process.Number, clock_tick{});
@@ -127,7 +127,7 @@
       const offer Offer = makeOffer(Process.Node, Options.Service, Now);
       for (int Entry = 0; Entry < Options.Entries; ++Entry)
         if (!isCut(nameOf(Process.Number), "entry" + std::to_string(Entry)))
-          stepEntryNode(Entry, offer_heard{Options.Service, Offer});
+          stepEntryNode(Entry, offer_received{Options.Service, Offer});
     }
   });
   repeat(milliseconds(20), [this] {
--- a/Tests/Scheduler/world_callers.cpp
+++ b/Tests/Scheduler/world_callers.cpp
@@ -13,7 +13,7 @@
 void world::performEntry(int Number, const entry_action &Action) {
   if (const auto *Forward = std::get_if<forward_request>(&Action)) {
     forward(Number, *Forward);
-  } else if (const auto *Ask = std::get_if<ask_witness>(&Action)) {
+  } else if (const auto *Ask = std::get_if<query_witness>(&Action)) {
     askWitness(Number, *Ask);
   } else if (const auto *Finish = std::get_if<finish_caller>(&Action)) {
     auto Found = AtEntry.find(Finish->Token);
@@ -63,7 +63,7 @@
   }
 }
 
-void world::askWitness(int Number, const ask_witness &Action) {
+void world::askWitness(int Number, const query_witness &Action) {
   const auto Name = splitNodeId(Action.Witness);
   const int Receiver = std::stoi(Name->Instance.substr(2));
   const std::uint64_t Token = NextToken++;
@@ -71,7 +71,7 @@
   const std::string Entry = "entry" + std::to_string(Number);
   send(Entry, Name->Instance, true, [=, this] {
     onGateway(Receiver, Name->Incarnation, [=, this] {
-      stepNode(Receiver, seal_asked{Token, Action.Key});
+      stepNode(Receiver, seal_requested{Token, Action.Key});
     });
   });
   after(milliseconds(400),
@@ -91,12 +91,12 @@
       onOutcome(Waiting->second, Action.Outcome, Action.Answer.Body, {});
     if (Route.Seal)
       stepEntryNode(Route.Entry,
-                    witness_answered{Route.EntryToken, Action.Outcome,
-                                     Action.RetryAfter});
+                    witness_responded{Route.EntryToken, Action.Outcome,
+                                      Action.RetryAfter});
     else
       stepEntryNode(Route.Entry,
-                    gateway_answered{Route.EntryToken, Action.Outcome,
-                                     Action.Reason, Action.RetryAfter});
+                    gateway_responded{Route.EntryToken, Action.Outcome,
+                                      Action.Reason, Action.RetryAfter});
   });
 }
 
--- a/Tests/Scheduler/world_gateways.cpp
+++ b/Tests/Scheduler/world_gateways.cpp
@@ -13,15 +13,15 @@
   gateway_settings Settings;
   Settings.Id = gatewayNodeId(nameOf(Number), Site, Process.Incarnation);
   Settings.FailureDomain = "domain-" + std::to_string(Number);
-  Settings.MaxWork = MaxWork;
-  Settings.EndMargin = milliseconds(50);
+  Settings.MaxBackendDeadline = MaxBackendDeadline;
+  Settings.CompletionMargin = milliseconds(50);
   Settings.Budget.LoanLease = milliseconds(400);
-  Settings.Budget.ReclaimDelay = MaxWork + milliseconds(800);
+  Settings.Budget.ReclaimDelay = MaxBackendDeadline + milliseconds(800);
   Settings.RetryAfter = milliseconds(50);
   Settings.Targets = Options.TargetPolicy;
   Settings.Queue = Options.Queue;
   if (Options.Sabotage == sabotage::NoLingering)
-    Settings.EndMargin = -seconds(60);
+    Settings.CompletionMargin = -seconds(60);
   if (Options.Sabotage == sabotage::ReclaimAtOnce)
     Settings.Budget.ReclaimDelay = {};
   Process.Node = makeGateway(Settings);
@@ -34,7 +34,7 @@
   SiteSettings.LinkLimits["far"] = 4;
   stepNode(Number, site_changed{SiteSettings, Targets});
   if (Pool.Record.Version > 0)
-    stepNode(Number, record_seen{Pool.Record});
+    stepNode(Number, record_received{Pool.Record});
   announceGateways();
 }
 
@@ -176,9 +176,9 @@
       const auto *Loan = std::get_if<loan_message>(&Message);
       if (Options.Sabotage == sabotage::LoansTakenTwice && Loan)
         Gateways[static_cast<std::size_t>(Receiver)]
-            .Node.Budget.Requested.emplace(Loan->LoanId, Now);
+            .Node.Budget.LoansRequested.emplace(Loan->LoanId, Now);
       if (Options.Sabotage == sabotage::LeavingIgnored &&
-          std::holds_alternative<leaving_notice>(Message))
+          std::holds_alternative<draining_notice>(Message))
         return;
       stepNode(Receiver, peer_message_arrived{From, Message});
     });
@@ -205,7 +205,7 @@
     }
     after(latency(), [=, this] {
       onGateway(Number, Incarnation, [=, this] {
-        stepNode(Number, record_update_answered{Proposed, Outcome, Version});
+        stepNode(Number, record_update_completed{Proposed, Outcome, Version});
       });
     });
   });
@@ -231,10 +231,11 @@
   const instant End = std::min(Now + Work, Action.Deadline);
   const bool CutShort = End < Now + Work;
   const std::size_t Place = Result.History.Executions.size();
-  Result.History.Executions.push_back(
-      {Now, End, Operation, Key, Action.Target, Site, Region,
-       Options.SlotMilliwatts,
-       CutShort ? execution_end::CallerLeft : execution_end::Completed});
+  Result.History.Executions.push_back({Now, End, Operation, Key, Action.Target,
+                                       Site, Region, Options.SlotMilliwatts,
+                                       CutShort
+                                           ? execution_end::CallerDisconnected
+                                           : execution_end::Completed});
   // The connection may break long before the execution ends.
   if (Lost)
     after(Work / 2, [=, this] {
@@ -251,7 +252,7 @@
 void world::endExecution(int Number, std::int64_t Incarnation,
                          std::uint64_t Token, std::size_t Place, target_end End,
                          duration Took) {
-  target_ended Ended;
+  attempt_ended Ended;
   Ended.Token = Token;
   Ended.End = End;
   Ended.Took = Took;
--- a/Tests/Scheduler/world_state.h
+++ b/Tests/Scheduler/world_state.h
@@ -16,7 +16,7 @@
 inline constexpr std::int64_t IdleMilliwatts = 20'000;
 inline constexpr const char *Site = "site-a";
 inline constexpr duration CallerDeadline = milliseconds(1'500);
-inline constexpr duration MaxWork = milliseconds(1'500);
+inline constexpr duration MaxBackendDeadline = milliseconds(1'500);
 
 /// A gateway process: its node and its run state.
 struct gateway_process {
@@ -104,7 +104,7 @@
   void stepEntryNode(int Number, const entry_event &Event);
   void performEntry(int Number, const entry_action &Action);
   void forward(int Number, const forward_request &Action);
-  void askWitness(int Number, const ask_witness &Action);
+  void askWitness(int Number, const query_witness &Action);
   void respondToEntry(int Gateway, const finish_request &Action);
   void startCaller(int Caller);
   void submit(const std::shared_ptr<operation> &Operation, int Entry);
--- a/Tests/budget_test.cpp
+++ b/Tests/budget_test.cpp
@@ -26,12 +26,12 @@
   if (!Next)
     return false;
   if (Next->Version != Store.Version) {
-    updateAnswered(Holder, *Next, update_result::Conflict, 0, Now);
+    handleUpdateResult(Holder, *Next, update_result::Conflict, 0, Now);
     return false;
   }
   Store = *Next;
   ++Store.Version;
-  updateAnswered(Holder, *Next, update_result::Written, Store.Version, Now);
+  handleUpdateResult(Holder, *Next, update_result::Written, Store.Version, Now);
   return true;
 }
 
@@ -58,14 +58,14 @@
   pool_record Store;
   write(First, Store, Start);
   const resource_amount Most{"power", 80};
-  CHECK(takeUnits(First, {&Most, 1}, Start));
-  observeRecord(Second, Store);
+  CHECK(acquireUnits(First, {&Most, 1}, Start));
+  applyRecord(Second, Store);
   write(Second, Store, Start);
   LONGS_EQUAL(0, availableUnits(Second, "power", Start));
-  observeRecord(First, Store);
+  applyRecord(First, Store);
   // The holder gives up its idle units and keeps every unit in use.
   write(First, Store, Start);
-  observeRecord(Second, Store);
+  applyRecord(Second, Store);
   write(Second, Store, Start);
   LONGS_EQUAL(20, availableUnits(Second, "power", Start));
   LONGS_EQUAL(0, availableUnits(First, "power", Start));
@@ -80,12 +80,12 @@
   const pool_record Old = Store;
   Store.Shares["b"] = {};
   ++Store.Version;
-  observeRecord(First, Store);
+  applyRecord(First, Store);
   const auto Next = planUpdate(First, {}, Start);
   CHECK(Next.has_value());
-  updateAnswered(First, *Next, update_result::Uncertain, 0, Start);
-  observeRecord(First, Old);
-  observeRecord(First, Store);
+  handleUpdateResult(First, *Next, update_result::Uncertain, 0, Start);
+  applyRecord(First, Old);
+  applyRecord(First, Store);
   LONGS_EQUAL(50, availableUnits(First, "power", Start));
 }
 
@@ -95,7 +95,7 @@
 TEST(Budget, UncertainUpdateIsRetriedUnchanged) {
   budget_holder First = makeHolder("a");
   const auto Sent = planUpdate(First, {}, Start);
-  updateAnswered(First, *Sent, update_result::Uncertain, 0, Start);
+  handleUpdateResult(First, *Sent, update_result::Uncertain, 0, Start);
   CHECK(!planUpdate(First, {}, Start).has_value());
   const auto Again = planUpdate(First, {}, Start + seconds(60));
   CHECK(Again.has_value());
@@ -115,7 +115,7 @@
   handleLoanMessage(Borrower, "a", Lent[0].Message, {}, Start);
   LONGS_EQUAL(10, availableUnits(Borrower, "power", Start));
   LONGS_EQUAL(90, availableUnits(Lender, "power", Start));
-  const auto Back = loanTick(Borrower, {}, Start);
+  const auto Back = maintainLoans(Borrower, {}, Start);
   const auto Confirmed =
       handleLoanMessage(Lender, "b", Back[0].Message, {}, Start);
   handleLoanMessage(Borrower, "a", Confirmed[0].Message, {}, Start);
@@ -151,9 +151,9 @@
   pool_record Store;
   Store.Version = 1;
   Store.Shares["dead"] = {{"power", 50}};
-  observeRecord(First, Store);
+  applyRecord(First, Store);
   write(First, Store, Start);
-  observeDeath(First, "dead", Start);
+  recordHolderDeath(First, "dead", Start);
   write(First, Store, Start + seconds(10));
   LONGS_EQUAL(50, availableUnits(First, "power", Start + seconds(10)));
   write(First, Store, Start + seconds(131));
--- a/Tests/gateway_test.cpp
+++ b/Tests/gateway_test.cpp
@@ -57,7 +57,7 @@
                              {slotResource("t-2"), 3}};
     else
       Record.Shares["dead"] = {{PowerResource, 100}};
-    step(record_seen{Record}, Start);
+    step(record_received{Record}, Start);
   }
 
   std::uint64_t arrive(work_class Class, instant Now) {
@@ -84,7 +84,7 @@
     while (!Sent.empty()) {
       const send_to_target Send = Sent.back();
       Sent.pop_back();
-      step(target_ended{Send.Token, End, milliseconds(1)}, Now);
+      step(attempt_ended{Send.Token, End, milliseconds(1)}, Now);
     }
   }
 
@@ -194,7 +194,7 @@
   Gateway.serve(0);
   const auto First = Gateway.arrive(work_class::Idempotent, Start);
   CHECK(!Gateway.Finished.contains(First));
-  const instant StallDetected = Start + Gateway.Node.Settings.StallLimit;
+  const instant StallDetected = Start + Gateway.Node.Settings.StallTimeout;
   Gateway.step(clock_tick{}, StallDetected);
   CHECK(Gateway.Finished.contains(First));
   CHECK(makeOffer(Gateway.Node, Service, StallDetected).Suspect);
@@ -207,16 +207,16 @@
   Gateway.serve(0);
   Gateway.arrive(work_class::Idempotent, Start);
   const gateway_settings &Settings = Gateway.Node.Settings;
-  const instant StallDetected = Start + Settings.StallLimit;
+  const instant StallDetected = Start + Settings.StallTimeout;
   Gateway.step(clock_tick{}, StallDetected);
-  const instant RefusalsEnd = StallDetected + Settings.StallMemory;
+  const instant RefusalsEnd = StallDetected + Settings.StallRefusalPeriod;
   CHECK(!Gateway.Finished.contains(
       Gateway.arrive(work_class::Idempotent, RefusalsEnd)));
-  Gateway.step(clock_tick{}, RefusalsEnd + Settings.StallLimit);
+  Gateway.step(clock_tick{}, RefusalsEnd + Settings.StallTimeout);
   pool_record Record{2, {}};
   Record.Shares[Self] = {{PowerResource, 100}, {slotResource("t-1"), 3}};
-  Gateway.step(record_seen{Record}, RefusalsEnd + Settings.StallLimit);
-  Gateway.arrive(work_class::Idempotent, RefusalsEnd + Settings.StallLimit);
+  Gateway.step(record_received{Record}, RefusalsEnd + Settings.StallTimeout);
+  Gateway.arrive(work_class::Idempotent, RefusalsEnd + Settings.StallTimeout);
   LONGS_EQUAL(1, Gateway.Sent.size());
 }
 
--- a/Tests/golden_test.cpp
+++ b/Tests/golden_test.cpp
@@ -35,7 +35,7 @@
             " at " + Execution.Target + " from " + Execution.SourceRegion +
             " for " +
             std::to_string((Execution.End - Execution.Start).count()) + " us");
-  for (const told_answer &Told : Result.History.Told)
+  for (const reported_outcome &Told : Result.History.Told)
     Lines.emplace_back(
         microseconds(Told.At),
         "told " + Told.Operation + " " + std::string(toString(Told.Outcome)) +
--- a/Tests/keys_test.cpp
+++ b/Tests/keys_test.cpp
@@ -40,7 +40,7 @@
   owner_table Table;
   CHECK(key_verdict::Admit == admitKey(Table, "k", Expiry, 1, Limits, Now));
   CHECK(key_verdict::Join == admitKey(Table, "k", Expiry, 2, Limits, Now));
-  CHECK(witnessAnswered(Table, "k", true));
+  CHECK(applyWitnessReply(Table, "k", true));
   CHECK(markSent(Table, "k"));
   LONGS_EQUAL(2,
               closeKey(Table, "k", key_state::Answered, {200, "", "x"}).size());
@@ -51,7 +51,7 @@
   owner_table Table;
   admitKey(Table, "k", Expiry, 1, Limits, Now);
   CHECK(!markSent(Table, "k"));
-  witnessAnswered(Table, "k", true);
+  applyWitnessReply(Table, "k", true);
   CHECK(markSent(Table, "k"));
   CHECK(!markSent(Table, "k"));
 }
--- a/Tests/parts_test.cpp
+++ b/Tests/parts_test.cpp
@@ -154,7 +154,7 @@
   retry_budget Budget;
   int Spent = 0;
   for (int Try = 0; Try < 1'000; ++Try) {
-    earnRetry(Budget);
+    creditRetry(Budget);
     Spent += spendRetry(Budget) ? 1 : 0;
   }
   LONGS_EQUAL(109, Spent);
@@ -179,11 +179,11 @@
   Target.Slots = 4;
   const target_policy Policy;
   for (int Failure = 0; Failure < 3; ++Failure)
-    noteTargetResult(Target, Policy, false, {}, Now);
-  CHECK(!takesWork(Target, Policy, Now));
-  CHECK(takesWork(Target, Policy, Now + Policy.Quarantine));
+    recordTargetResult(Target, Policy, false, {}, Now);
+  CHECK(!acceptsWork(Target, Policy, Now));
+  CHECK(acceptsWork(Target, Policy, Now + Policy.Quarantine));
   Target.InFlight = 1;
-  CHECK(!takesWork(Target, Policy, Now + Policy.Quarantine));
+  CHECK(!acceptsWork(Target, Policy, Now + Policy.Quarantine));
 }
 
 TEST(Parts, ColdTargetAcceptsFewerRequests) {
@@ -191,8 +191,8 @@
   Target.Slots = 8;
   Target.Since = Now;
   Target.InFlight = 2;
-  CHECK(!takesWork(Target, {}, Now));
-  CHECK(takesWork(Target, {}, Now + seconds(3)));
+  CHECK(!acceptsWork(Target, {}, Now));
+  CHECK(acceptsWork(Target, {}, Now + seconds(3)));
 }
 
 // Regression: a daemon that responds was considered dead forever after one
@@ -229,7 +229,7 @@
   for (int Entry = 0; Entry < 10; ++Entry) {
     customer_limit Limit;
     for (int Step = 0; Step < 1'000; ++Step)
-      if (takeLimit(Limit, Contract, 10, Now + milliseconds(Step)) ==
+      if (acquireLimit(Limit, Contract, 10, Now + milliseconds(Step)) ==
           limit_verdict::Allowed)
         ++Allowed;
   }
--- a/Utilities/Capacity/measure_fleet.cpp
+++ b/Utilities/Capacity/measure_fleet.cpp
@@ -277,15 +277,16 @@
       } else {
         ++Run.Conflicts;
       }
-      updateAnswered(Nodes[Flight.Node], Flight.Proposed,
-                     Fits ? update_result::Written : update_result::Conflict,
-                     Store.Version, Now);
+      handleUpdateResult(Nodes[Flight.Node], Flight.Proposed,
+                         Fits ? update_result::Written
+                              : update_result::Conflict,
+                         Store.Version, Now);
     }
     if (Changed)
       Run.DoneMs = Round * 5.0;
     if (Round % 4 == 0)
       for (budget_holder &Node : Nodes)
-        observeRecord(Node, Store);
+        applyRecord(Node, Store);
     // Each node ticks every 50 ms, at its own offset.
     for (std::size_t Node = 0; Node < Nodes.size(); ++Node)
       if ((static_cast<std::size_t>(Round) + Node) % 10 == 0)
@@ -317,7 +318,7 @@
       const auto Second =
           std::chrono::duration_cast<std::chrono::seconds>(Now - Begin);
       ++PerSecond[std::min<std::size_t>(39, std::size_t(Second.count()))];
-      updateAnswered(
+      handleUpdateResult(
           Node, *Next,
           IsOutage ? update_result::Uncertain : update_result::Written, 1, Now);
     }
--- a/Utilities/Capacity/measure_state.cpp
+++ b/Utilities/Capacity/measure_state.cpp
@@ -149,7 +149,7 @@
     if (const auto *Write = std::get_if<write_record>(&Action))
       stepGateway(
           Node,
-          record_update_answered{Write->Proposed, update_result::Written, 1},
+          record_update_completed{Write->Proposed, update_result::Written, 1},
           Begin);
   return Node;
 }
@@ -165,8 +165,8 @@
     Work.Deadline = Now.Now + std::chrono::seconds(1);
     stepGateway(Node, request_arrived{Work}, Now);
     stepGateway(Node,
-                target_ended{Work.Token, target_end::Completed,
-                             std::chrono::milliseconds(5)},
+                attempt_ended{Work.Token, target_end::Completed,
+                              std::chrono::milliseconds(5)},
                 Now);
   });
 }
@@ -183,8 +183,8 @@
     Offer.Gateway = Known.Gateways[static_cast<std::size_t>(Gateway)];
     Offer.Site = "site" + std::to_string(Gateway / 3);
     Offer.FreeUnits = 10;
-    Offer.Heard = Now;
-    stepEntry(Node, offer_heard{"desk", Offer}, Now);
+    Offer.ReceivedAt = Now;
+    stepEntry(Node, offer_received{"desk", Offer}, Now);
   }
   for (int Customer = 0; Customer < Customers; ++Customer) {
     contract Contract;
@@ -206,7 +206,7 @@
     Request.Service = "desk";
     Request.Deadline = Now + std::chrono::seconds(1);
     stepEntry(Node, Request, Now);
-    stepEntry(Node, gateway_answered{Request.Token, outcome::Answered}, Now);
+    stepEntry(Node, gateway_responded{Request.Token, outcome::Answered}, Now);
   });
 }
 
--- a/Utilities/PolicyBench/main.cpp
+++ b/Utilities/PolicyBench/main.cpp
@@ -49,7 +49,7 @@
   const instant EarlyEnd = SteadyBegin + std::chrono::milliseconds(500);
   const instant LateBegin = End - std::chrono::seconds(3);
   Row.Seconds += secondsOf(End - SteadyBegin);
-  for (const told_answer &Told : Result.History.Told) {
+  for (const reported_outcome &Told : Result.History.Told) {
     Row.Keyed += Told.Key.empty() ? 0 : 1;
     Row.Unknown += Told.Outcome == outcome::Unknown ? 1 : 0;
     Row.Refused += Told.Outcome == outcome::Refused ? 1 : 0;
@@ -164,7 +164,7 @@
       char Name[40];
       std::snprintf(Name, sizeof(Name), "1/%d of the time left", Part);
       Options = atLoad(Factor);
-      Options.Queue.WaitPart = Part;
+      Options.Queue.MaxWaitDivisor = Part;
       printRow(Name, Options);
     }
   }
