--- a/Libraries/Core/core.cpp
+++ b/Libraries/Core/core.cpp
@@ -22,7 +22,7 @@
   return XXH3_64bits_withSeed(Text.data(), Text.size(), Seed);
 }
 
-std::uint64_t rendezvousRank(std::uint64_t Member, std::uint64_t Hash) {
+std::uint64_t rendezvousScore(std::uint64_t Member, std::uint64_t Hash) {
   return (Member ^ Hash) * 0x9e3779b97f4a7c15U;
 }
 
--- a/Libraries/Core/core.h
+++ b/Libraries/Core/core.h
@@ -78,7 +78,7 @@
 /// and \p Hash are the hashes of the member and the object. Members are ordered
 /// by descending score; all instances compute the same order without
 /// communication.
-std::uint64_t rendezvousRank(std::uint64_t Member, std::uint64_t Hash);
+std::uint64_t rendezvousScore(std::uint64_t Member, std::uint64_t Hash);
 
 } // namespace amaranthhoist
 
--- a/Libraries/EventLog/event_log.cpp
+++ b/Libraries/EventLog/event_log.cpp
@@ -38,7 +38,7 @@
   return WrittenThisSecond[Index] < LinesPerSecond[Index];
 }
 
-bool event_log::wouldWrite(log_kind Kind, instant Now) {
+bool event_log::admitsLine(log_kind Kind, instant Now) {
   if (isWithinLimit(Kind, Now))
     return true;
   ++Suppressed[static_cast<std::size_t>(Kind)];
@@ -102,7 +102,7 @@
 
 void event_log::write(log_kind Kind, std::string_view Event,
                       std::span<const log_entry> Fields, instant Now) {
-  if (!wouldWrite(Kind, Now))
+  if (!admitsLine(Kind, Now))
     return;
   ++WrittenThisSecond[static_cast<std::size_t>(Kind)];
   append(Event, Fields, Now);
--- a/Libraries/EventLog/event_log.h
+++ b/Libraries/EventLog/event_log.h
@@ -25,9 +25,9 @@
   Process,
   /// A dependency was lost or restored, or the state of a server, a peer or the
   /// configuration version changed.
-  Belief,
+  ClusterState,
   /// A request was refused, retried, abandoned, cancelled, or failed.
-  Trouble,
+  RequestFailure,
   /// A request was answered.
   Success,
   /// One attempt at a server, with the inputs of the decision.
@@ -48,7 +48,7 @@
 
   /// Whether the rate limit allows a line of this kind now. If not, counts the
   /// line as suppressed. For lines whose fields are expensive to compute.
-  [[nodiscard]] bool wouldWrite(log_kind Kind, instant Now);
+  [[nodiscard]] bool admitsLine(log_kind Kind, instant Now);
 
   /// Appends a line to the buffer. \p Event is the event name in snake case.
   void write(log_kind Kind, std::string_view Event,
--- a/Libraries/EventLoop/event_loop.cpp
+++ b/Libraries/EventLoop/event_loop.cpp
@@ -50,7 +50,7 @@
   Registrations[static_cast<std::size_t>(Descriptor)].Handler = nullptr;
 }
 
-timer_id event_loop::after(duration Delay, std::function<void()> Function) {
+timer_id event_loop::runAfter(duration Delay, std::function<void()> Function) {
   const timer_id Timer = ++LastTimerId;
   const instant Time = Now + Delay;
   Timers.emplace(timer_key(Time, Timer), std::move(Function));
@@ -58,10 +58,10 @@
   return Timer;
 }
 
-void event_loop::every(duration Period, std::function<void()> Function) {
-  after(Period, [this, Period, Function = std::move(Function)]() mutable {
+void event_loop::runEvery(duration Period, std::function<void()> Function) {
+  runAfter(Period, [this, Period, Function = std::move(Function)]() mutable {
     Function();
-    every(Period, std::move(Function));
+    runEvery(Period, std::move(Function));
   });
 }
 
@@ -74,7 +74,7 @@
   Timer = 0;
 }
 
-void event_loop::atEndOfRound(std::function<void()> Function) {
+void event_loop::atEndOfIteration(std::function<void()> Function) {
   IterationCallbacks.push_back(std::move(Function));
 }
 
--- a/Libraries/EventLoop/event_loop.h
+++ b/Libraries/EventLoop/event_loop.h
@@ -51,14 +51,14 @@
   void unwatch(int Descriptor);
 
   /// Schedules a single call of \p Function after \p Delay.
-  timer_id after(duration Delay, std::function<void()> Function);
+  timer_id runAfter(duration Delay, std::function<void()> Function);
   /// Schedules repeated calls of \p Function, the first after one \p Period.
-  void every(duration Period, std::function<void()> Function);
+  void runEvery(duration Period, std::function<void()> Function);
   /// Cancels a timer, which may have fired already, and sets \p Timer to 0.
   void cancel(timer_id &Timer);
 
   /// Registers \p Function to be called at the end of each loop iteration.
-  void atEndOfRound(std::function<void()> Function);
+  void atEndOfIteration(std::function<void()> Function);
 
   /// Processes events until stop() is called.
   void run();
--- a/Libraries/EventLoop/socket.cpp
+++ b/Libraries/EventLoop/socket.cpp
@@ -53,7 +53,7 @@
   return cat(Text, ":", Endpoint.Port);
 }
 
-result<int> listenAt(const endpoint &Endpoint) {
+result<int> listenOn(const endpoint &Endpoint) {
   const int Descriptor =
       socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (Descriptor < 0)
@@ -70,7 +70,7 @@
   return Descriptor;
 }
 
-int acceptFrom(int Listener, bool &OutOfDescriptors) {
+int acceptConnection(int Listener, bool &OutOfDescriptors) {
   const int Descriptor =
       accept4(Listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
   OutOfDescriptors = Descriptor < 0 && (errno == EMFILE || errno == ENFILE);
@@ -111,7 +111,7 @@
   return Error;
 }
 
-result<int> bindDatagrams(const endpoint &Endpoint) {
+result<int> bindUdp(const endpoint &Endpoint) {
   const int Descriptor =
       socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (Descriptor < 0)
--- a/Libraries/EventLoop/socket.h
+++ b/Libraries/EventLoop/socket.h
@@ -22,11 +22,11 @@
 std::string toString(const endpoint &Endpoint);
 
 /// Opens a listening TCP socket and returns its descriptor.
-result<int> listenAt(const endpoint &Endpoint);
+result<int> listenOn(const endpoint &Endpoint);
 /// Accepts one pending connection and returns its descriptor, or -1 if there is
 /// none. \p OutOfDescriptors is set if a connection is pending but the limit on
 /// file descriptors is reached.
-int acceptFrom(int Listener, bool &OutOfDescriptors);
+int acceptConnection(int Listener, bool &OutOfDescriptors);
 /// Starts connecting and returns the descriptor, which becomes writable once
 /// the connection is established. \p Timeout bounds how long sent bytes may
 /// stay unacknowledged, and how long an idle connection goes without a
@@ -36,7 +36,7 @@
 /// Returns the error of a connection attempt; 0 if it is established.
 int connectError(int Descriptor);
 /// Opens a UDP socket bound to \p Endpoint and returns its descriptor.
-result<int> bindDatagrams(const endpoint &Endpoint);
+result<int> bindUdp(const endpoint &Endpoint);
 /// Closes with a reset, so that the peer cannot mistake a truncated message for
 /// a complete one.
 void closeWithReset(int Descriptor);
--- a/Libraries/EventLoop/stream.cpp
+++ b/Libraries/EventLoop/stream.cpp
@@ -40,18 +40,18 @@
   Descriptor = -1;
 }
 
-void stream::endWhenDrained() {
+void stream::shutdownWhenFlushed() {
   if (Descriptor < 0)
     return;
   ShutdownWhenFlushed = true;
-  if (pending() == 0)
+  if (pendingBytes() == 0)
     shutdown(Descriptor, SHUT_WR);
 }
 
 void stream::write(std::string_view Bytes) {
   if (Descriptor < 0)
     return;
-  if (pending() > 0 || !IsConnected) {
+  if (pendingBytes() > 0 || !IsConnected) {
     WriteBuffer.append(Bytes);
     return;
   }
@@ -66,9 +66,9 @@
 }
 
 void stream::flush() {
-  while (pending() > 0) {
+  while (pendingBytes() > 0) {
     const ssize_t Count = send(Descriptor, WriteBuffer.data() + WriteOffset,
-                               pending(), MSG_NOSIGNAL);
+                               pendingBytes(), MSG_NOSIGNAL);
     if (Count <= 0)
       return;
     WriteOffset += static_cast<std::size_t>(Count);
@@ -80,7 +80,7 @@
     return;
   if (ShutdownWhenFlushed)
     shutdown(Descriptor, SHUT_WR);
-  Owner.onDrained();
+  Owner.onFlushed();
 }
 
 void stream::resume() {
@@ -93,7 +93,7 @@
   if (Descriptor < 0)
     return;
   close();
-  Owner.onEnd(Reason);
+  Owner.onDisconnect(Reason);
 }
 
 void stream::readAll(bool UntilEof) {
@@ -106,12 +106,12 @@
     }
     const ssize_t Count = recv(Descriptor, Buffer.data(), Buffer.size(), 0);
     if (Count == 0) {
-      disconnect(stream_end::InOrder);
+      disconnect(stream_end::Graceful);
       return;
     }
     if (Count < 0) {
       if (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR)
-        disconnect(stream_end::Broken);
+        disconnect(stream_end::ConnectionLost);
       return;
     }
     const auto Size = static_cast<std::size_t>(Count);
@@ -125,7 +125,7 @@
 void stream::onEvent(const io_event &Event) {
   if (!IsConnected && (Event.Writable || Event.Disconnected)) {
     if (connectError(Descriptor) != 0) {
-      disconnect(stream_end::Broken);
+      disconnect(stream_end::ConnectionLost);
       return;
     }
     if (!Event.Writable)
@@ -137,7 +137,7 @@
   }
   if (Event.Disconnected)
     PeerDisconnected = true;
-  if (Event.Writable && pending() > 0)
+  if (Event.Writable && pendingBytes() > 0)
     flush();
   if (Descriptor >= 0 && (Event.Readable || Event.Disconnected))
     readAll(PeerDisconnected);
--- a/Libraries/EventLoop/stream.h
+++ b/Libraries/EventLoop/stream.h
@@ -11,11 +11,11 @@
 namespace amaranthhoist {
 
 /// Why a connection was closed.
-enum class stream_end : std::uint8_t {
+enum class disconnect_reason : std::uint8_t {
   /// The peer closed its side gracefully.
-  InOrder,
+  Graceful,
   /// The connection was reset, or the peer stopped responding.
-  Broken,
+  ConnectionLost,
 };
 
 /// Receives the events of a connection. The owner may close the stream in any
@@ -26,8 +26,8 @@
   virtual void onConnected() {}
   virtual void onBytes(std::string_view Bytes) = 0;
   /// The kernel has accepted all written bytes.
-  virtual void onDrained() {}
-  virtual void onEnd(stream_end Reason) = 0;
+  virtual void onFlushed() {}
+  virtual void onDisconnect(stream_end Reason) = 0;
 };
 
 class stream : public io_handler {
@@ -44,7 +44,7 @@
   /// Sends \p Bytes and buffers those that the kernel does not accept.
   void write(std::string_view Bytes);
   /// Number of bytes in the write buffer.
-  [[nodiscard]] std::size_t pending() const {
+  [[nodiscard]] std::size_t pendingBytes() const {
     return WriteBuffer.size() - WriteOffset;
   }
 
@@ -62,7 +62,7 @@
   /// Shuts down the sending side once the write buffer is empty. The peer's
   /// close is then reported as onDisconnect(). Closing before the peer has read
   /// everything could send a reset, which would discard unread bytes.
-  void endWhenDrained();
+  void shutdownWhenFlushed();
 
   void onEvent(const io_event &Event) override;
 
--- a/Libraries/Fleet/fleet.cpp
+++ b/Libraries/Fleet/fleet.cpp
@@ -121,10 +121,10 @@
                           std::size_t Count) {
   using ranked_member = std::pair<std::uint64_t, const fleet_member *>;
   std::vector<ranked_member> Ranked = {
-      {rendezvousRank(stableHash(Fleet.Own.Name), Hash), nullptr}};
+      {rendezvousScore(stableHash(Fleet.Own.Name), Hash), nullptr}};
   for (const auto &[Name, Member] : Fleet.Members)
     if (isUp(Fleet.Membership, Name))
-      Ranked.emplace_back(rendezvousRank(stableHash(Name), Hash), &Member);
+      Ranked.emplace_back(rendezvousScore(stableHash(Name), Hash), &Member);
   Count = std::min(Count, Ranked.size());
   std::partial_sort(Ranked.begin(),
                     Ranked.begin() + static_cast<std::ptrdiff_t>(Count),
--- a/Libraries/HttpConnection/client_connection.cpp
+++ b/Libraries/HttpConnection/client_connection.cpp
@@ -74,7 +74,7 @@
     ++SkippedResponses;
     return;
   }
-  KeptFor = parseKeepAliveTimeout(Head);
+  KeepAliveTimeout = parseKeepAliveTimeout(Head);
 }
 
 void client_connection::onBytes(std::string_view Bytes) {
@@ -118,8 +118,8 @@
 }
 
 void client_connection::finish(std::string_view Trailing) {
-  IsReusable = IsReusable && Reader.keepsAlive() && Trailing.empty() &&
-               Stream.pending() == 0 && Stream.isOpen();
+  IsReusable = IsReusable && Reader.isKeepAlive() && Trailing.empty() &&
+               Stream.pendingBytes() == 0 && Stream.isOpen();
   IdleSince = Loop.now();
   call_owner *Finished = Owner;
   Owner = nullptr;
@@ -131,18 +131,18 @@
 void client_connection::failCall(bool Garbled) {
   call_owner *Failed = Owner;
   const call_failure Failure{!Stream.isConnected(), CallCount > 1,
-                             Reader.hasBegun(), Garbled};
+                             Reader.hasStarted(), Garbled};
   close();
   if (Failed)
     Failed->onFailure(Failure);
 }
 
-void client_connection::onEnd(stream_end Reason) {
+void client_connection::onDisconnect(stream_end Reason) {
   IsReusable = false;
   if (!Owner)
     return;
-  if (Reason == stream_end::InOrder && HeadHandled && !IsSkippingResponse) {
-    Reader.feedEnd();
+  if (Reason == stream_end::Graceful && HeadHandled && !IsSkippingResponse) {
+    Reader.finishAtClose();
     if (Reader.state() == read_state::Complete) {
       finish({});
       return;
--- a/Libraries/HttpConnection/client_connection.h
+++ b/Libraries/HttpConnection/client_connection.h
@@ -23,7 +23,7 @@
   /// Bytes of a response had been received.
   bool HadResponseBytes = false;
   /// The received bytes were not a valid HTTP response.
-  bool Garbled = false;
+  bool IsMalformed = false;
 };
 
 /// Receives the response to one call.
@@ -72,12 +72,12 @@
   instant IdleSince{};
   /// How long the server keeps the idle connection open, according to its
   /// Keep-Alive field; zero if it did not say.
-  duration KeptFor{};
+  duration KeepAliveTimeout{};
 
 private:
   void onConnected() override;
   void onBytes(std::string_view Bytes) override;
-  void onEnd(stream_end Reason) override;
+  void onDisconnect(stream_end Reason) override;
   void handleHead();
   void finish(std::string_view Trailing);
   void failCall(bool Garbled);
--- a/Libraries/HttpConnection/small_server.cpp
+++ b/Libraries/HttpConnection/small_server.cpp
@@ -55,7 +55,7 @@
 private:
   void restartIdleTimer() {
     Loop.cancel(IdleTimer);
-    IdleTimer = Loop.after(IdleTimeout, [this] { closeIdle(); });
+    IdleTimer = Loop.runAfter(IdleTimeout, [this] { closeIdle(); });
   }
 
   void closeIdle() {
@@ -63,7 +63,9 @@
     Server.removeConnection(*this);
   }
 
-  void onEnd(stream_end /*Reason*/) override { Server.removeConnection(*this); }
+  void onDisconnect(stream_end /*Reason*/) override {
+    Server.removeConnection(*this);
+  }
 
   void onBytes(std::string_view Bytes) override {
     while (!Bytes.empty() && Stream.isOpen()) {
@@ -90,12 +92,14 @@
     const std::string_view Query = Mark == std::string_view::npos
                                        ? std::string_view()
                                        : Target.substr(Mark + 1);
-    respond(Server.Handler(Target.substr(0, Mark), Query), Reader.keepsAlive());
+    respond(Server.Handler(Target.substr(0, Mark), Query),
+            Reader.isKeepAlive());
   }
 
-  void respond(const small_answer &Response, bool KeepAlive) {
+  void respond(const small_response &Response, bool KeepAlive) {
     std::string Text;
-    append(Text, "HTTP/1.1 ", Response.Status, " ", reasonOf(Response.Status),
+    append(Text, "HTTP/1.1 ", Response.Status, " ",
+           reasonPhrase(Response.Status),
            "\r\nContent-Type: ", Response.ContentType,
            "\r\nContent-Length: ", Response.Body.size(), "\r\n");
     if (!KeepAlive)
@@ -104,7 +108,7 @@
     Stream.write(Text);
     restartIdleTimer();
     if (!KeepAlive)
-      Stream.endWhenDrained();
+      Stream.shutdownWhenFlushed();
   }
 
   small_server &Server;
@@ -114,9 +118,9 @@
   timer_id IdleTimer = 0;
 };
 
-small_server::small_server(event_loop &Loop, small_handler Handler)
+small_server::small_server(event_loop &Loop, small_request_handler Handler)
     : Loop(Loop), Handler(std::move(Handler)) {
-  Loop.atEndOfRound([this] { RemovedConnections.clear(); });
+  Loop.atEndOfIteration([this] { RemovedConnections.clear(); });
 }
 
 small_server::~small_server() {
@@ -125,7 +129,7 @@
 }
 
 result<bool> small_server::listen(const endpoint &Endpoint) {
-  Listener = TRY(listenAt(Endpoint));
+  Listener = TRY(listenOn(Endpoint));
   if (!Loop.watch(Listener, *this))
     return fail(error_code::Unavailable,
                 "cannot add the listening socket to epoll");
@@ -135,7 +139,7 @@
 void small_server::onEvent(const io_event & /*Event*/) {
   bool OutOfDescriptors = false;
   for (;;) {
-    const int Descriptor = acceptFrom(Listener, OutOfDescriptors);
+    const int Descriptor = acceptConnection(Listener, OutOfDescriptors);
     if (Descriptor < 0)
       return;
     auto Connection = std::make_unique<small_connection>(*this, Loop);
--- a/Libraries/HttpConnection/small_server.h
+++ b/Libraries/HttpConnection/small_server.h
@@ -15,15 +15,15 @@
 
 namespace amaranthhoist {
 
-struct small_answer {
+struct small_response {
   int Status = 200;
   std::string ContentType = "application/json";
   std::string Body;
 };
 
 /// Returns the response to a request for \p Path with its raw \p Query.
-using small_handler =
-    std::function<small_answer(std::string_view Path, std::string_view Query)>;
+using small_request_handler = std::function<small_response(
+    std::string_view Path, std::string_view Query)>;
 
 /// Returns the percent-decoded value of \p Name in a raw query; empty if
 /// absent.
@@ -33,7 +33,7 @@
 
 class small_server : private io_handler {
 public:
-  small_server(event_loop &Loop, small_handler Handler);
+  small_server(event_loop &Loop, small_request_handler Handler);
   ~small_server() override;
   small_server(const small_server &) = delete;
   small_server &operator=(const small_server &) = delete;
@@ -46,7 +46,7 @@
   void removeConnection(small_connection &Connection);
 
   event_loop &Loop;
-  small_handler Handler;
+  small_request_handler Handler;
   int Listener = -1;
   absl::flat_hash_map<small_connection *, std::unique_ptr<small_connection>>
       Connections;
--- a/Libraries/HttpMessage/http_message.cpp
+++ b/Libraries/HttpMessage/http_message.cpp
@@ -233,7 +233,7 @@
   return Consumed;
 }
 
-void message_reader::feedEnd() {
+void message_reader::finishAtClose() {
   static const http_parser_settings Settings = callbacks::makeSettings();
   if (State == read_state::InBody && BodyEndsAtClose)
     http_parser_execute(&Parser, &Settings, nullptr, 0);
@@ -255,7 +255,7 @@
   });
 }
 
-bool isNamedByConnection(const message_head &Head, std::string_view Name) {
+bool isListedInConnection(const message_head &Head, std::string_view Name) {
   const auto Connection = Head.find("connection");
   if (!Connection)
     return false;
@@ -274,7 +274,7 @@
   return Seconds;
 }
 
-std::string_view reasonOf(int Status) {
+std::string_view reasonPhrase(int Status) {
   return http_status_str(static_cast<http_status>(Status));
 }
 
--- a/Libraries/HttpMessage/http_message.h
+++ b/Libraries/HttpMessage/http_message.h
@@ -82,11 +82,11 @@
   std::size_t feed(std::string_view Bytes);
   /// Handles a graceful close by the peer, which completes a response without a
   /// length.
-  void feedEnd();
+  void finishAtClose();
 
   [[nodiscard]] read_state state() const { return State; }
   /// Whether any byte of the message has been read.
-  [[nodiscard]] bool hasBegun() const { return HasStarted; }
+  [[nodiscard]] bool hasStarted() const { return HasStarted; }
   [[nodiscard]] const message_head &head() const { return Head; }
   /// Body bytes that were read and not yet removed by the caller.
   std::string &body() { return Body; }
@@ -96,9 +96,9 @@
     return ContentLength;
   }
   /// Whether the body ends only when the connection is closed.
-  [[nodiscard]] bool endsWithConnection() const { return BodyEndsAtClose; }
+  [[nodiscard]] bool bodyEndsAtClose() const { return BodyEndsAtClose; }
   /// Whether the connection can be reused for another message.
-  [[nodiscard]] bool keepsAlive() const { return IsKeepAlive; }
+  [[nodiscard]] bool isKeepAlive() const { return IsKeepAlive; }
 
 private:
   struct callbacks;
@@ -130,7 +130,7 @@
 /// Whether \p Name is a hop-by-hop field, which is not forwarded.
 bool isHopByHop(std::string_view Name);
 /// Whether the head's Connection field lists \p Name.
-bool isNamedByConnection(const message_head &Head, std::string_view Name);
+bool isListedInConnection(const message_head &Head, std::string_view Name);
 
 /// Returns the value of the Retry-After field in seconds, which may be
 /// fractional. Returns none if the field is missing or holds anything other
@@ -138,7 +138,7 @@
 std::optional<double> retryAfterSeconds(const message_head &Head);
 
 /// Returns the standard reason phrase of a status code.
-std::string_view reasonOf(int Status);
+std::string_view reasonPhrase(int Status);
 /// Appends `Name: Value` and a line ending.
 void appendField(std::string &Text, std::string_view Name,
                  std::string_view Value);
--- a/Libraries/Metrics/metrics.cpp
+++ b/Libraries/Metrics/metrics.cpp
@@ -29,7 +29,8 @@
       ++Series->Buckets[Bucket];
 }
 
-void metrics_registry::count(const std::string &Name, std::int64_t Increment) {
+void metrics_registry::incrementCounter(const std::string &Name,
+                                        std::int64_t Increment) {
   const std::lock_guard Guard(CounterLock);
   Counters[Name] += Increment;
 }
@@ -39,8 +40,8 @@
   ++Attempts[Labels];
 }
 
-void metrics_registry::gauge(const std::string &Name,
-                             std::function<double()> ReadValue) {
+void metrics_registry::registerGauge(const std::string &Name,
+                                     std::function<double()> ReadValue) {
   const std::lock_guard Guard(CounterLock);
   Gauges[Name] = std::move(ReadValue);
 }
@@ -84,8 +85,9 @@
   for (const auto &[Labels, Value] : Attempts)
     absl::StrAppend(&Text, Name, "{region=\"", escapeLabel(Labels.Region),
                     "\",connection=\"",
-                    Labels.IsOnKeptConnection ? "kept" : "new", "\",attempt=\"",
-                    Labels.IsRepeat ? "repeat" : "first", "\"} ", Value, "\n");
+                    Labels.IsOnReusedConnection ? "kept" : "new",
+                    "\",attempt=\"", Labels.IsRetry ? "repeat" : "first",
+                    "\"} ", Value, "\n");
 }
 
 std::string metrics_registry::expose() const {
--- a/Libraries/Metrics/metrics.h
+++ b/Libraries/Metrics/metrics.h
@@ -45,12 +45,12 @@
   std::string Region;
   /// The attempt reused an open connection. A new connection needs two more
   /// network crossings before the server receives the request.
-  bool IsOnKeptConnection = false;
+  bool IsOnReusedConnection = false;
   /// The attempt is not the first one of its request.
-  bool IsRepeat = false;
+  bool IsRetry = false;
   bool operator<(const attempt_labels &Other) const {
-    return std::tie(Region, IsOnKeptConnection, IsRepeat) <
-           std::tie(Other.Region, Other.IsOnKeptConnection, Other.IsRepeat);
+    return std::tie(Region, IsOnReusedConnection, IsRetry) <
+           std::tie(Other.Region, Other.IsOnReusedConnection, Other.IsRetry);
   }
 };
 
@@ -63,11 +63,12 @@
   static constexpr std::size_t MaxSeriesPerShard = 4'000;
 
   void observeLatency(const latency_labels &Labels, duration Elapsed);
-  void count(const std::string &Name, std::int64_t Increment = 1);
+  void incrementCounter(const std::string &Name, std::int64_t Increment = 1);
   void countAttempt(const attempt_labels &Labels);
   /// Registers a gauge whose value is read from \p ReadValue at each
   /// exposition.
-  void gauge(const std::string &Name, std::function<double()> ReadValue);
+  void registerGauge(const std::string &Name,
+                     std::function<double()> ReadValue);
 
   /// Formats all metrics in the text exposition format.
   std::string expose() const;
--- a/Libraries/Pacing/pacing.cpp
+++ b/Libraries/Pacing/pacing.cpp
@@ -59,10 +59,10 @@
 std::size_t
 countHigherRankedInstances(std::uint64_t Hash, std::uint64_t OwnHash,
                            const std::vector<std::uint64_t> &Instances) {
-  const std::uint64_t Own = rendezvousRank(OwnHash, Hash);
+  const std::uint64_t Own = rendezvousScore(OwnHash, Hash);
   return static_cast<std::size_t>(std::count_if(
       Instances.begin(), Instances.end(),
-      [&](std::uint64_t Other) { return rendezvousRank(Other, Hash) > Own; }));
+      [&](std::uint64_t Other) { return rendezvousScore(Other, Hash) > Own; }));
 }
 
 double coldRate(double RequestsPerSecond, std::uint64_t TargetHash,
--- a/Libraries/RequestTrace/causes.cpp
+++ b/Libraries/RequestTrace/causes.cpp
@@ -90,7 +90,7 @@
 }
 
 /// Adds the state of the node that may have influenced the outcome.
-static void addNodeCauses(const node_background &Node,
+static void addNodeCauses(const node_context &Node,
                           std::vector<std::string> &Causes) {
   if (Node.StoreIsUnreachable)
     Causes.push_back(cat(Node.Instance, " had lost contact with the store"));
@@ -115,7 +115,7 @@
       Causes.push_back(std::move(Outcome));
       break;
     }
-  for (const node_background &Node : Trace.Nodes) {
+  for (const node_context &Node : Trace.Nodes) {
     // A process that shuts down gracefully logs that first.
     const bool WasKilled = Causes.empty() && !Node.ProcessLines.empty() &&
                            Node.ProcessLines.front().Event == "started";
--- a/Libraries/RequestTrace/describe.cpp
+++ b/Libraries/RequestTrace/describe.cpp
@@ -37,7 +37,7 @@
   return Text;
 }
 
-static void formatNode(const node_background &Node, std::string &Text) {
+static void formatNode(const node_context &Node, std::string &Text) {
   append(Text, "  ", Node.Instance, ": configuration ",
          Node.ConfigurationVersion);
   if (Node.ConfigurationAgeUs >= 0)
@@ -64,7 +64,7 @@
   for (const log_line &Step : Trace.Steps)
     append(Text, "  ", formatLine(Step), "\n");
   append(Text, "state of the nodes when it arrived:\n");
-  for (const node_background &Node : Trace.Nodes)
+  for (const node_context &Node : Trace.Nodes)
     formatNode(Node, Text);
   append(Text, "cause:\n");
   for (const std::string &Cause : Trace.Causes)
--- a/Libraries/RequestTrace/request_trace.cpp
+++ b/Libraries/RequestTrace/request_trace.cpp
@@ -30,7 +30,7 @@
              : 0;
 }
 
-void trace_reader::take(std::string_view Line) {
+void trace_reader::addLine(std::string_view Line) {
   // A log collector may have prefixed the line.
   const std::size_t Start = Line.find('{');
   if (Line.find_first_not_of(" \t\r\n") == std::string_view::npos)
@@ -88,7 +88,7 @@
 }
 
 /// Applies a state change that the node logged before the request.
-static void applyStateChange(node_background &Node, const log_line &Line,
+static void applyStateChange(node_context &Node, const log_line &Line,
                              std::int64_t RequestUs) {
   if (Line.Event == "configuration_applied") {
     Node.ConfigurationVersion = Line.number("version");
@@ -114,18 +114,18 @@
   return std::find(Events.begin(), Events.end(), Line.Event) != Events.end();
 }
 
-static node_background buildNodeContext(const trace_reader &Reader,
-                                        const std::string &Instance,
-                                        const request_trace &Trace,
-                                        const std::set<std::string> &Servers) {
-  node_background Node;
+static node_context buildNodeContext(const trace_reader &Reader,
+                                     const std::string &Instance,
+                                     const request_trace &Trace,
+                                     const std::set<std::string> &Servers) {
+  node_context Node;
   Node.Instance = Instance;
   const auto Step = std::find_if(
       Trace.Steps.begin(), Trace.Steps.end(),
       [&](const log_line &Line) { return Line.Instance == Instance; });
   // The line was logged at the end of the interval that it describes.
   const std::int64_t RequestUs = Step->SteadyUs - Step->number("took_us");
-  for (const log_line &Line : Reader.beliefs()) {
+  for (const log_line &Line : Reader.stateLines()) {
     if (Line.Instance != Instance)
       continue;
     const std::int64_t OffsetMs = Line.TimeMs - Step->TimeMs;
@@ -147,7 +147,7 @@
 request_trace makeTrace(const trace_reader &Reader) {
   request_trace Trace;
   Trace.RequestId = Reader.requestId();
-  Trace.Steps = Reader.own();
+  Trace.Steps = Reader.requestLines();
   std::stable_sort(Trace.Steps.begin(), Trace.Steps.end(),
                    [](const log_line &Left, const log_line &Right) {
                      if (Left.Instance == Right.Instance &&
--- a/Libraries/RequestTrace/request_trace.h
+++ b/Libraries/RequestTrace/request_trace.h
@@ -42,18 +42,18 @@
       : RequestId(std::move(RequestId)) {}
 
   /// Parses one line. Counts and skips anything that is not a log line.
-  void take(std::string_view Line);
+  void addLine(std::string_view Line);
 
   [[nodiscard]] const std::string &requestId() const { return RequestId; }
   /// Lines of the request, in the order in which they were added.
-  [[nodiscard]] const std::vector<log_line> &own() const {
+  [[nodiscard]] const std::vector<log_line> &requestLines() const {
     return RequestLines;
   }
   /// Lines about the state of nodes and processes.
-  [[nodiscard]] const std::vector<log_line> &beliefs() const {
+  [[nodiscard]] const std::vector<log_line> &stateLines() const {
     return StateLines;
   }
-  [[nodiscard]] std::int64_t unreadable() const { return SkippedLines; }
+  [[nodiscard]] std::int64_t skippedLines() const { return SkippedLines; }
 
 private:
   std::string RequestId;
@@ -64,7 +64,7 @@
 };
 
 /// State of one node when the request arrived there.
-struct node_background {
+struct node_context {
   std::string Instance;
   std::int64_t ConfigurationVersion = 0;
   /// How long before the request the version was applied, in microseconds; -1
@@ -86,7 +86,7 @@
   std::string RequestId;
   /// Ordered by wall clock; lines of one process by its monotonic clock.
   std::vector<log_line> Steps;
-  std::vector<node_background> Nodes;
+  std::vector<node_context> Nodes;
   /// Sentences for operators, the most likely cause first.
   std::vector<std::string> Causes;
 };
--- a/Services/Control/control_daemon.cpp
+++ b/Services/Control/control_daemon.cpp
@@ -52,8 +52,8 @@
           Response.Body = Metrics.expose();
           return Response;
         }));
-  Metrics.gauge("amaranthhoist_platform_up",
-                [this] { return PlatformUp ? 1.0 : 0.0; });
+  Metrics.registerGauge("amaranthhoist_platform_up",
+                        [this] { return PlatformUp ? 1.0 : 0.0; });
   WatchThread = std::thread([this] { watchPlatform(); });
   Timers.subscribe(MembershipPeriod, [this] { Loop.run([this] { tick(); }); });
   Timers.subscribe(ComparePeriod, [this] {
@@ -91,9 +91,9 @@
         Loop.peer<wire::Control>(addressOf(Message.To)).replicateRequest();
     Request.setFrom(Registered ? Name : Settings.Control.Listen);
     writeReplicaMessage(Message.Message, Request.initMessage());
-    Metrics.count("amaranthhoist_replica_bytes_sent",
-                  std::int64_t(Request.totalSize().wordCount * 8));
-    Metrics.count("amaranthhoist_replica_messages_sent");
+    Metrics.incrementCounter("amaranthhoist_replica_bytes_sent",
+                             std::int64_t(Request.totalSize().wordCount * 8));
+    Metrics.incrementCounter("amaranthhoist_replica_messages_sent");
     Loop.keep(Request.send().ignoreResult().catch_([](kj::Exception &&) {}));
   }
 }
@@ -105,7 +105,7 @@
         Loop.peer<wire::Control>(addressOf(Message.To)).probeRequest();
     Request.setFrom(Name);
     writeMembershipMessage(Message.Message, Request.initMessage());
-    Metrics.count("amaranthhoist_membership_messages_sent");
+    Metrics.incrementCounter("amaranthhoist_membership_messages_sent");
     Loop.keep(Request.send().ignoreResult().catch_([](kj::Exception &&) {}));
   }
 }
--- a/Services/Entry/entry_daemon.cpp
+++ b/Services/Entry/entry_daemon.cpp
@@ -74,8 +74,9 @@
         return std::make_unique<caller_exchange>(*this, std::move(Head));
       },
       Options));
-  Metrics.gauge("amaranthhoist_requests_in_progress",
-                [this] { return static_cast<double>(InProgress.load()); });
+  Metrics.registerGauge("amaranthhoist_requests_in_progress", [this] {
+    return static_cast<double>(InProgress.load());
+  });
   Control.start();
   Timers.subscribe(TickPeriod, [this] { stepAll(entry_tick{}); });
   Timers.subscribe(OfferPeriod, [this] { Loop.run([this] { pollOffers(); }); });
--- a/Services/Node/caller_connection.cpp
+++ b/Services/Node/caller_connection.cpp
@@ -51,7 +51,7 @@
 void caller_connection::setTimer(duration Delay,
                                  void (caller_connection::*Function)()) {
   Node.Loop.cancel(Timer);
-  Timer = Node.Loop.after(Delay, [this, Function] {
+  Timer = Node.Loop.runAfter(Delay, [this, Function] {
     Timer = 0;
     (this->*Function)();
   });
@@ -70,7 +70,7 @@
   if (IsClosing)
     return;
   IsClosing = true;
-  Stream.endWhenDrained();
+  Stream.shutdownWhenFlushed();
   setTimer(CloseTimeout, &caller_connection::closeNow);
 }
 
@@ -79,7 +79,7 @@
   Server.retire(*this);
 }
 
-void caller_connection::onEnd(stream_end /*End*/) {
+void caller_connection::onDisconnect(stream_end /*End*/) {
   Node.Loop.cancel(Timer);
   while (!Slots.empty()) {
     // The server keeps exchanges that continue without the caller.
@@ -100,7 +100,7 @@
   processBacklog();
 }
 
-void caller_connection::onDrained() {
+void caller_connection::onFlushed() {
   if (!Slots.empty())
     Slots.front()->onCallerDrained();
 }
@@ -131,7 +131,7 @@
 }
 
 std::size_t caller_connection::feedReader(std::string_view Bytes) {
-  if (!Reader.hasBegun()) {
+  if (!Reader.hasStarted()) {
     RequestStartedAt = LastBytesAt;
     IsHeadHandled = false;
     setTimer(limits().HeadTimeout, &caller_connection::onReadTimeout);
@@ -177,7 +177,7 @@
 bool caller_connection::handleHead() {
   IsHeadHandled = true;
   const message_head &Head = Reader.head();
-  RequestKeepsAlive = Reader.keepsAlive();
+  RequestKeepsAlive = Reader.isKeepAlive();
   const bool HasTarget =
       Head.target().starts_with("/") && Head.method() != "CONNECT";
   if (!HasTarget || Head.count("host") != 1) {
@@ -224,7 +224,7 @@
                         equalsIgnoringCase(Field.Name, "content-length") ||
                         equalsIgnoringCase(Field.Name, "expect");
     if (!IsOurs && !isHopByHop(Field.Name) &&
-        !isNamedByConnection(Head, Field.Name))
+        !isListedInConnection(Head, Field.Name))
       appendField(Request.Fields, Field.Name, Field.Value);
   }
   Request.Body = std::move(Reader.body());
@@ -293,7 +293,7 @@
     retireFirst();
     if (IsAborted) {
       Stream.closeWithReset();
-      onEnd(stream_end::Broken);
+      onDisconnect(stream_end::ConnectionLost);
       return;
     }
     if (ClosesConnection) {
@@ -324,7 +324,7 @@
     serve(std::move(Request));
     return;
   }
-  if (!Reader.hasBegun())
+  if (!Reader.hasStarted())
     setTimer(limits().IdleTimeout, &caller_connection::onIdleTimeout);
 }
 
@@ -347,13 +347,13 @@
 
 void caller_connection::writeRejection(int Status) {
   std::string Text;
-  append(Text, "HTTP/1.1 ", Status, " ", reasonOf(Status), "\r\n");
+  append(Text, "HTTP/1.1 ", Status, " ", reasonPhrase(Status), "\r\n");
   if (const auto Id = Reader.head().find(Node.Wire.RequestId))
     appendField(Text, Node.Wire.RequestId, *Id);
   if (Status == 503)
     appendField(Text, "Retry-After", "0.5");
   Text.append("Connection: close\r\nContent-Length: 0\r\n\r\n");
-  Node.Log.write(log_kind::Trouble, "rejected",
+  Node.Log.write(log_kind::RequestFailure, "rejected",
                  {{"status", static_cast<std::int64_t>(Status)}},
                  Node.Loop.now());
   releaseBody();
--- a/Services/Node/caller_connection.h
+++ b/Services/Node/caller_connection.h
@@ -30,7 +30,7 @@
   [[nodiscard]] bool open(int Descriptor);
   /// Returns whether a request is being read or served.
   [[nodiscard]] bool isBusy() const {
-    return !Slots.empty() || Reader.hasBegun();
+    return !Slots.empty() || Reader.hasStarted();
   }
   /// Closes the connection if it is idle.
   void closeIfIdle();
@@ -39,12 +39,12 @@
 
 private:
   void onBytes(std::string_view Bytes) override;
-  void onDrained() override;
-  void onEnd(stream_end End) override;
+  void onFlushed() override;
+  void onDisconnect(stream_end End) override;
 
   bool isFirst(const response_slot &Slot) const override;
   void sendNow(std::string_view Bytes) override { Stream.write(Bytes); }
-  std::size_t unsentBytes() const override { return Stream.pending(); }
+  std::size_t unsentBytes() const override { return Stream.pendingBytes(); }
   bool keepsAliveAfter(const response_slot &Slot) override;
   void onFirstDone() override;
 
--- a/Services/Node/caller_server.cpp
+++ b/Services/Node/caller_server.cpp
@@ -18,7 +18,7 @@
 caller_server::~caller_server() { stopListening(); }
 
 result<bool> caller_server::listen(const endpoint &Endpoint) {
-  Listener = TRY(listenAt(Endpoint));
+  Listener = TRY(listenOn(Endpoint));
   if (!Node.Loop.watch(Listener, *this))
     return fail(error_code::Unavailable, "can't watch a listening socket");
   return true;
@@ -40,10 +40,10 @@
   while (Listener >= 0) {
     bool OutOfDescriptors = Connections.size() >= Limit;
     const int Descriptor =
-        OutOfDescriptors ? -1 : acceptFrom(Listener, OutOfDescriptors);
+        OutOfDescriptors ? -1 : acceptConnection(Listener, OutOfDescriptors);
     if (Descriptor < 0) {
       if (OutOfDescriptors && AcceptRetryTimer == 0)
-        AcceptRetryTimer = Node.Loop.after(AcceptRetryDelay, [this] {
+        AcceptRetryTimer = Node.Loop.runAfter(AcceptRetryDelay, [this] {
           AcceptRetryTimer = 0;
           acceptPending();
         });
--- a/Services/Node/crash_probe.cpp
+++ b/Services/Node/crash_probe.cpp
@@ -35,7 +35,7 @@
                                      : tl::unexpected(Endpoint.error());
     if (!Descriptor || !Stream.open(*Descriptor, /*IsConnected=*/false))
       return false;
-    Timer = Loop.after(ConnectTimeout, [this] {
+    Timer = Loop.runAfter(ConnectTimeout, [this] {
       Timer = 0;
       finish(/*IsAlive=*/false);
     });
@@ -56,7 +56,7 @@
 private:
   void onConnected() override { finish(/*IsAlive=*/true); }
   void onBytes(std::string_view /*Bytes*/) override {}
-  void onEnd(stream_end /*End*/) override { finish(/*IsAlive=*/false); }
+  void onDisconnect(stream_end /*End*/) override { finish(/*IsAlive=*/false); }
 
   void finish(bool IsAlive) {
     Stream.close();
@@ -75,13 +75,13 @@
 };
 
 crash_probe::crash_probe(node &Node) : Node(Node) {
-  Node.Loop.every(ExpiryPeriod, [&Node] {
+  Node.Loop.runEvery(ExpiryPeriod, [&Node] {
     evictExpiredRecords(Node.Steering.Quarantine, Node.Loop.now());
   });
-  Node.Metrics.gauge("amaranthhoist_quarantined_contents", [&Node] {
+  Node.Metrics.registerGauge("amaranthhoist_quarantined_contents", [&Node] {
     return static_cast<double>(countQuarantined(Node.Steering.Quarantine));
   });
-  Node.Metrics.gauge("amaranthhoist_crash_records_left_out", [&Node] {
+  Node.Metrics.registerGauge("amaranthhoist_crash_records_left_out", [&Node] {
     return static_cast<double>(Node.Steering.Quarantine.DroppedCrashes);
   });
 }
@@ -96,7 +96,7 @@
     return;
   }
   if (Attempts.size() >= MaxProbes) {
-    Node.Metrics.count("amaranthhoist_crash_probes_left_out_total");
+    Node.Metrics.incrementCounter("amaranthhoist_crash_probes_left_out_total");
     return;
   }
   auto Attempt = std::make_unique<connection_attempt>(*this, Target);
@@ -115,8 +115,9 @@
   Attempts.erase(Found);
   if (!IsAlive)
     recordServerCrash(*Attempt);
-  Node.Metrics.count(IsAlive ? "amaranthhoist_answers_lost_total"
-                             : "amaranthhoist_servers_crashed_total");
+  Node.Metrics.incrementCounter(IsAlive
+                                    ? "amaranthhoist_answers_lost_total"
+                                    : "amaranthhoist_servers_crashed_total");
   Node.Retired.push_back(std::move(Attempt));
 }
 
@@ -127,7 +128,7 @@
     logQuarantine(Node, recordCrash(Node.Steering.Quarantine, Content,
                                     Attempt.startHash(), Node.Loop.now()));
   }
-  Node.Log.write(log_kind::Belief, "server_crashed",
+  Node.Log.write(log_kind::ClusterState, "server_crashed",
                  {{"server", Attempt.server()}, {"contents", Names}},
                  Node.Loop.now());
 }
--- a/Services/Node/exchange.cpp
+++ b/Services/Node/exchange.cpp
@@ -42,7 +42,7 @@
   if (Node.isBootstrapping()) {
     // A refused request would be retried after a quarter of a second at the
     // earliest.
-    BootstrapTimer = Node.Loop.after(BootstrapCheckPeriod, [this] {
+    BootstrapTimer = Node.Loop.runAfter(BootstrapCheckPeriod, [this] {
       BootstrapTimer = 0;
       start();
     });
@@ -63,8 +63,8 @@
   Plan = std::move(*Planned);
   HasPlan = true;
   DeadlineTimer =
-      Node.Loop.after(Plan.Deadline - Node.Loop.now() + DeadlineGrace,
-                      [this] { onDeadline(); });
+      Node.Loop.runAfter(Plan.Deadline - Node.Loop.now() + DeadlineGrace,
+                         [this] { onDeadline(); });
   attemptNext();
 }
 
@@ -121,7 +121,7 @@
       return;
     }
     ConnectTimer =
-        Node.Loop.after(ConnectTimeout, [this] { onConnectTimeout(); });
+        Node.Loop.runAfter(ConnectTimeout, [this] { onConnectTimeout(); });
   }
   Connection->call(*this, encodeRequest(Chosen), Request.Method == "HEAD");
 }
@@ -155,7 +155,7 @@
   for (std::size_t Index = 0; Index < Head.fieldCount(); ++Index) {
     const auto Field = Head.fieldAt(Index);
     const bool IsLength = equalsIgnoringCase(Field.Name, "content-length");
-    if (isHopByHop(Field.Name) || isNamedByConnection(Head, Field.Name) ||
+    if (isHopByHop(Field.Name) || isListedInConnection(Head, Field.Name) ||
         (IsLength && Request.Method != "HEAD"))
       continue;
     appendField(ResponseFields, Field.Name, Field.Value);
@@ -180,12 +180,12 @@
   const instant Now = Node.Loop.now();
   if (Head.find(Node.Wire.Leaving) == "1" && !Target->Entry.IsDraining) {
     recordDraining(Node.Steering.Targets, *Target);
-    Node.Log.write(log_kind::Belief, "server_says_it_leaves",
+    Node.Log.write(log_kind::ClusterState, "server_says_it_leaves",
                    {{"server", Target->Entry.Id}}, Now);
   }
   if (const auto Rest = requestedBackoff(Head)) {
     recordBackoff(Node.Steering.Targets, *Target, Now + *Rest);
-    Node.Log.write(log_kind::Belief, "server_rests",
+    Node.Log.write(log_kind::ClusterState, "server_rests",
                    {{"server", Target->Entry.Id},
                     {"for_us", static_cast<std::int64_t>(Rest->count())},
                     {"repeat", Attempts.size() > 1}},
@@ -209,7 +209,7 @@
   const bool ClaimsSuccess = Head.status() / 100 == 2;
   if (ClaimsSuccess && (!Id || !Head.find(Node.Wire.Signature).has_value())) {
     // The response was not made by the server and must not reach the caller.
-    onFailure({.HadResponseBytes = true, .Garbled = true});
+    onFailure({.HadResponseBytes = true, .IsMalformed = true});
     return true;
   }
   storeResponseHead(Head);
@@ -244,7 +244,7 @@
     Plan.TriedTargets.push_back(Id);
     if (chooseTarget(Node.Steering, Plan, Node.Loop.now()) &&
         mayRetry(Node.Steering, Plan, Node.Loop.now())) {
-      log(log_kind::Trouble, "repeat", "server_error", Status);
+      log(log_kind::RequestFailure, "repeat", "server_error", Status);
       BufferedBody.clear();
       attemptNext();
       return;
@@ -260,7 +260,7 @@
   const std::string Id = Target->Entry.Id;
   const attempt_result Result =
       classifyBrokenAttempt({Failure.NotConnected, Failure.WasReused,
-                             Failure.HadResponseBytes || Failure.Garbled,
+                             Failure.HadResponseBytes || Failure.IsMalformed,
                              Node.Loop.now() - AttemptStartedAt});
   if (Result != attempt_result::Unreachable) {
     ++Plan.DeliveredAttempts;
@@ -279,7 +279,7 @@
     return;
   }
   if (IsStreaming) {
-    log(log_kind::Trouble, "answer_cut", "server_broke_off", Status);
+    log(log_kind::RequestFailure, "answer_cut", "server_broke_off", Status);
     Caller->abortResponse();
     finish();
     return;
@@ -290,7 +290,7 @@
       Plan.Attempts - Plan.DeliveredAttempts >= MaxUnreachableTargets;
   auto Chosen = chooseTarget(Node.Steering, Plan, Now);
   if (Chosen && !TooManyUnreachable && mayRetry(Node.Steering, Plan, Now)) {
-    log(log_kind::Trouble, "repeat", "attempt_failed", 0);
+    log(log_kind::RequestFailure, "repeat", "attempt_failed", 0);
     startAttempt(**Chosen);
     return;
   }
@@ -314,7 +314,7 @@
   dropConnection();
   finishAttempt(attempt_result::TimedOut);
   if (IsStreaming) {
-    log(log_kind::Trouble, "answer_cut", "deadline", Status);
+    log(log_kind::RequestFailure, "answer_cut", "deadline", Status);
     Caller->abortResponse();
     finish();
     return;
@@ -338,7 +338,7 @@
     return false;
   }
   if (Target)
-    log(log_kind::Trouble, "cancelled", "caller_left", 0);
+    log(log_kind::RequestFailure, "cancelled", "caller_left", 0);
   dropConnection();
   finishAttempt(attempt_result::Cancelled);
   Node.Loop.cancel(DeadlineTimer);
--- a/Services/Node/exchange_answer.cpp
+++ b/Services/Node/exchange_answer.cpp
@@ -16,7 +16,7 @@
                              bool KeepsAlive) {
   std::string Text;
   Text.reserve(128 + Fields.size());
-  append(Text, "HTTP/1.1 ", Status, " ", reasonOf(Status), "\r\n", Fields);
+  append(Text, "HTTP/1.1 ", Status, " ", reasonPhrase(Status), "\r\n", Fields);
   if (!KeepsAlive)
     appendField(Text, "Connection", "close");
   return Text;
@@ -91,7 +91,7 @@
   Node.Metrics.observeLatency(
       {Request.Host, Plan.Service, Status < 500 ? "answered" : "failed"},
       Elapsed);
-  log(Status < 500 ? log_kind::Success : log_kind::Trouble, "answered",
+  log(Status < 500 ? log_kind::Success : log_kind::RequestFailure, "answered",
       "server", Status);
   if (Caller)
     Caller->onResponseComplete();
@@ -125,7 +125,7 @@
   if (OwnStatus == 503)
     logRefusal(Why, OwnStatus, RetryAfter.value_or(duration::zero()));
   else
-    log(log_kind::Trouble, "gave_up", Why, OwnStatus);
+    log(log_kind::RequestFailure, "gave_up", Why, OwnStatus);
   Node.Metrics.observeLatency({Request.Host, Plan.Service, std::string(Why)},
                               Node.Loop.now() - Request.ArrivedAt);
   if (Caller) {
--- a/Services/Node/exchange_log.cpp
+++ b/Services/Node/exchange_log.cpp
@@ -59,7 +59,7 @@
 void exchange::log(log_kind Kind, std::string_view Event, std::string_view Why,
                    int WithStatus) {
   const instant Now = Node.Loop.now();
-  if (!Node.Log.wouldWrite(Kind, Now))
+  if (!Node.Log.admitsLine(Kind, Now))
     return;
   const std::string AttemptsText = describeAttempts();
   Node.Log.write(Kind, Event, summaryFields(Why, WithStatus, AttemptsText),
@@ -81,7 +81,7 @@
 void exchange::logRefusal(std::string_view Why, int WithStatus,
                           duration RetryAfter) {
   const instant Now = Node.Loop.now();
-  if (!Node.Log.wouldWrite(log_kind::Trouble, Now))
+  if (!Node.Log.admitsLine(log_kind::RequestFailure, Now))
     return;
   const candidate_list Weighed =
       HasPlan ? findCandidates(Node.Steering, Plan, Now) : candidate_list();
@@ -101,11 +101,11 @@
                  {"load_2", Second.Load},
                  {"wait_2_us", inMicroseconds(Second.Wait)},
                  {"report_age_2_us", reportAge(Second, Now)}});
-  Node.Log.write(log_kind::Trouble, "refused", Fields, Now);
+  Node.Log.write(log_kind::RequestFailure, "refused", Fields, Now);
 }
 
 void exchange::logAborted() {
-  log(log_kind::Trouble, Caller ? "answer_cut" : "left_running",
+  log(log_kind::RequestFailure, Caller ? "answer_cut" : "left_running",
       "process_ended", Status);
 }
 
--- a/Services/Node/instance_registration.cpp
+++ b/Services/Node/instance_registration.cpp
@@ -64,7 +64,7 @@
     NextWriteAt = Node.Loop.now() + WriteVisibilityDelay;
     return;
   }
-  Node.Log.write(log_kind::Belief, "registration_failed",
+  Node.Log.write(log_kind::ClusterState, "registration_failed",
                  {{"status", static_cast<std::int64_t>(Response.Status)}},
                  Node.Loop.now());
   NextWriteAt = Node.Loop.now() + Backoff;
--- a/Services/Node/kind_follower.cpp
+++ b/Services/Node/kind_follower.cpp
@@ -73,7 +73,7 @@
 
 void kind_follower::stepAfter(duration Delay) {
   // Never called directly: the connection is still finishing its last call.
-  NextStep = Node.Loop.after(Delay, [this] {
+  NextStep = Node.Loop.runAfter(Delay, [this] {
     NextStep = 0;
     step();
   });
@@ -131,7 +131,7 @@
 
 void kind_follower::onStoreResponse() {
   if (IsStoreLost)
-    Node.Log.write(log_kind::Belief, "store_regained",
+    Node.Log.write(log_kind::ClusterState, "store_regained",
                    {{"kind", platform::encodeKind(Kind)}}, Node.Loop.now());
   IsStoreLost = false;
 }
@@ -140,7 +140,7 @@
   const duration Delay = handleFailure(Watch, Failure);
   if (Failure != store_failure::HistoryExpired) {
     if (!IsStoreLost)
-      Node.Log.write(log_kind::Belief, "store_lost",
+      Node.Log.write(log_kind::ClusterState, "store_lost",
                      {{"kind", platform::encodeKind(Kind)},
                       {"failure", static_cast<std::int64_t>(Failure)}},
                      Node.Loop.now());
--- a/Services/Node/main.cpp
+++ b/Services/Node/main.cpp
@@ -68,8 +68,8 @@
                     return handleReadinessQuery(Path);
                   }),
         MetricsServer(Node.Loop, [this](auto /*Path*/, auto /*Query*/) {
-          return small_answer{200, "text/plain; version=0.0.4",
-                              Node.Metrics.expose()};
+          return small_response{200, "text/plain; version=0.0.4",
+                                Node.Metrics.expose()};
         }) {}
 
   result<bool> start() {
@@ -87,7 +87,8 @@
     listenForMetrics();
     TRY(watchSignals());
     Store.start();
-    Node.Loop.atEndOfRound([this] { Node.Fleet.OwnIsReady = Node.isReady(); });
+    Node.Loop.atEndOfIteration(
+        [this] { Node.Fleet.OwnIsReady = Node.isReady(); });
     Node.Log.write(log_kind::Process, "started",
                    {{"failure_domain", Settings.FailureDomain},
                     {"callers", Settings.Listen.Callers}},
@@ -116,7 +117,7 @@
                      Node.Loop.now());
   }
 
-  small_answer handleLookup(std::string_view Path, std::string_view Query) {
+  small_response handleLookup(std::string_view Path, std::string_view Query) {
     if (Path != platform::LookupPath)
       return {404, "application/json", "{}"};
     const auto Addresses = addressesFor(Node.Fleet, queryValue(Query, "zone"),
@@ -129,13 +130,14 @@
             platform::encodeAddresses(Addresses, TimeToLive)};
   }
 
-  small_answer handleReadinessQuery(std::string_view Path) const {
+  small_response handleReadinessQuery(std::string_view Path) const {
     if (Path != platform::ReadinessPath)
       return {404, "application/json", "{}"};
     return {Node.isReady() ? 200 : 503, "application/json", "{}"};
   }
 
-  small_answer handlePeerQuery(std::string_view Path, std::string_view Query) {
+  small_response handlePeerQuery(std::string_view Path,
+                                 std::string_view Query) {
     if (Path == "/v1/status")
       return {200, "application/json", encodeStatus(Node, Store)};
     if (Path != ChangesPath)
@@ -201,8 +203,8 @@
                  Grace - ShutdownMargin - longestTimeout(Node.Steering));
     Peers.leave();
     Node.Log.write(log_kind::Process, "leaving", {}, ShutdownStartedAt);
-    Node.Loop.every(ShutdownCheckPeriod,
-                    [this, Grace] { checkShutdown(Grace); });
+    Node.Loop.runEvery(ShutdownCheckPeriod,
+                       [this, Grace] { checkShutdown(Grace); });
   }
 
   void checkShutdown(duration Grace) {
--- a/Services/Node/node.cpp
+++ b/Services/Node/node.cpp
@@ -10,8 +10,8 @@
 node::node(node_settings InitialSettings, const wire_names &Wire)
     : Settings(std::move(InitialSettings)), Wire(Wire),
       Log(STDOUT_FILENO, Settings.Instance) {
-  Loop.atEndOfRound([this] { Retired.clear(); });
-  Loop.every(LogFlushPeriod, [this] { Log.flush(); });
+  Loop.atEndOfIteration([this] { Retired.clear(); });
+  Loop.runEvery(LogFlushPeriod, [this] { Log.flush(); });
   Steering.RetryBudget.Bounds = {Settings.Bounds.RetryRatio,
                                  Settings.Bounds.RetryWindow,
                                  Settings.Bounds.RetrySlack};
@@ -28,7 +28,7 @@
 void logQuarantine(node &Node, const std::optional<quarantine_change> &Change) {
   if (!Change)
     return;
-  Node.Log.write(log_kind::Belief,
+  Node.Log.write(log_kind::ClusterState,
                  Change->IsQuarantined ? "content_quarantined"
                                        : "content_released",
                  {{"content", contentName(Change->Content)},
--- a/Services/Node/peer_link.cpp
+++ b/Services/Node/peer_link.cpp
@@ -22,7 +22,7 @@
   Node.Fleet.Membership.Policy.ProbePeriod = std::chrono::milliseconds(500);
   Node.Fleet.Membership.Random.seed(stableHash(Node.Settings.Instance));
   setOwnMembers(Node.Fleet.Membership, {Node.Settings.Instance});
-  Node.Loop.every(TickPeriod, [this] { tick(); });
+  Node.Loop.runEvery(TickPeriod, [this] { tick(); });
 }
 
 peer_link::~peer_link() {
@@ -31,7 +31,7 @@
 }
 
 result<bool> peer_link::listen(const endpoint &Endpoint) {
-  Descriptor = TRY(bindDatagrams(Endpoint));
+  Descriptor = TRY(bindUdp(Endpoint));
   if (!Node.Loop.watch(Descriptor, *this))
     return fail(error_code::Unavailable, "can't watch the peers' socket");
   return true;
@@ -159,11 +159,11 @@
     return;
   for (const std::string &Name : Down)
     if (!LoggedDown.contains(Name))
-      Node.Log.write(log_kind::Belief, "peer_lost", {{"peer", Name}},
+      Node.Log.write(log_kind::ClusterState, "peer_lost", {{"peer", Name}},
                      Node.Loop.now());
   for (const std::string &Name : LoggedDown)
     if (!Down.contains(Name))
-      Node.Log.write(log_kind::Belief, "peer_back", {{"peer", Name}},
+      Node.Log.write(log_kind::ClusterState, "peer_back", {{"peer", Name}},
                      Node.Loop.now());
   LoggedDown = Down;
 }
--- a/Services/Node/relay_link.cpp
+++ b/Services/Node/relay_link.cpp
@@ -73,14 +73,14 @@
   if (Name.empty())
     return;
   Connection.setServer(Control);
-  Node.Log.write(log_kind::Belief, "relay_source", {{"peer", Name}},
+  Node.Log.write(log_kind::ClusterState, "relay_source", {{"peer", Name}},
                  Node.Loop.now());
 }
 
 void relay_link::pollSoon() {
   // Never called directly: the connection is still finishing its last call.
   Node.Loop.cancel(NextPoll);
-  NextPoll = Node.Loop.after(QuickPollDelay, [this] {
+  NextPoll = Node.Loop.runAfter(QuickPollDelay, [this] {
     NextPoll = 0;
     poll();
   });
@@ -88,7 +88,7 @@
 
 void relay_link::poll() {
   const bool IsRelay = ownRole(Node.Fleet) == spread_role::Relay;
-  NextPoll = Node.Loop.after(IsRelay ? RelayPollPeriod : PollPeriod, [this] {
+  NextPoll = Node.Loop.runAfter(IsRelay ? RelayPollPeriod : PollPeriod, [this] {
     NextPoll = 0;
     poll();
   });
--- a/Services/Node/replicated_state.cpp
+++ b/Services/Node/replicated_state.cpp
@@ -9,7 +9,7 @@
 static constexpr duration HousekeepingPeriod = std::chrono::milliseconds(150);
 
 replicated_state::replicated_state(node &Node) : Node(Node) {
-  Node.Loop.every(HousekeepingPeriod, [this] { runMaintenance(); });
+  Node.Loop.runEvery(HousekeepingPeriod, [this] { runMaintenance(); });
 }
 
 void replicated_state::runMaintenance() {
@@ -25,7 +25,7 @@
     if (LoggedShare == Weights.Spillover.Share)
       continue;
     LoggedShare = Weights.Spillover.Share;
-    Node.Log.write(log_kind::Belief, "region_spread",
+    Node.Log.write(log_kind::ClusterState, "region_spread",
                    {{"service", Service},
                     {"share", Weights.Spillover.Share},
                     {"occupation", Weights.Spillover.Utilization}},
@@ -66,7 +66,7 @@
   Node.HasFullState = Node.HasFullState || hasFullState();
   if (IsFull)
     Node.Log.write(
-        log_kind::Belief, "listed",
+        log_kind::ClusterState, "listed",
         {{"kind", platform::encodeKind(Changes.Kind)},
          {"objects", static_cast<std::int64_t>(Changes.Changes.size())},
          {"revision", static_cast<std::int64_t>(Changes.AtRevision)},
@@ -94,7 +94,7 @@
 void replicated_state::logUnreadable(object_kind Kind, std::string_view Name,
                                      std::string_view Why) {
   Node.Log.write(
-      log_kind::Belief, "object_unreadable",
+      log_kind::ClusterState, "object_unreadable",
       {{"kind", platform::encodeKind(Kind)}, {"name", Name}, {"why", Why}},
       Node.Loop.now());
 }
@@ -112,7 +112,7 @@
       applyConfiguration(Node.Steering, std::move(*Configuration));
   if (IsNew)
     ConfigurationAppliedAt = Node.Loop.now();
-  Node.Log.write(log_kind::Belief,
+  Node.Log.write(log_kind::ClusterState,
                  IsNew ? "configuration_applied" : "configuration_kept",
                  {{"version", static_cast<std::int64_t>(Version)},
                   {"routes", static_cast<std::int64_t>(Routes)}},
@@ -130,7 +130,7 @@
   const instant Now = Node.Loop.now();
   if (Change.IsDeleted) {
     removeTarget(Node.Steering.Targets, Change.Name, isTargetListComplete());
-    Node.Log.write(log_kind::Belief, "server_removed",
+    Node.Log.write(log_kind::ClusterState, "server_removed",
                    {{"server", Change.Name}, {"sure", isTargetListComplete()}},
                    Now);
     return;
@@ -145,7 +145,7 @@
   }
   upsertTarget(Node.Steering.Targets, *Entry, Now);
   Node.Log.write(
-      log_kind::Belief, "server_listed",
+      log_kind::ClusterState, "server_listed",
       {{"server", Entry->Id},
        {"service", Entry->Service},
        {"leaving", Entry->IsDraining},
@@ -160,7 +160,7 @@
       ColdTime = std::max(ColdTime, Service.ColdTime);
   setEvacuated(Node.Steering.Targets, Change.Name, !Change.IsDeleted, ColdTime,
                Node.Loop.now());
-  Node.Log.write(log_kind::Belief,
+  Node.Log.write(log_kind::ClusterState,
                  Change.IsDeleted ? "domain_back" : "domain_evacuated",
                  {{"failure_domain", Change.Name}}, Node.Loop.now());
 }
@@ -181,7 +181,7 @@
   setFleet(Node.Fleet, std::move(Members));
   Node.Steering.Instances = instanceHashes(Node.Fleet);
   Node.Log.write(
-      log_kind::Belief, "instances_known",
+      log_kind::ClusterState, "instances_known",
       {{"others", static_cast<std::int64_t>(Node.Fleet.Members.size())}},
       Node.Loop.now());
 }
--- a/Services/Node/state_bootstrap.cpp
+++ b/Services/Node/state_bootstrap.cpp
@@ -50,7 +50,7 @@
   if (!SeedConnection.isBusy())
     if (const auto Control = nextSeed(Learning, Node.Loop.now()))
       requestState(SeedConnection, *Control);
-  NextTick = Node.Loop.after(TickPeriod, [this] { tick(); });
+  NextTick = Node.Loop.runAfter(TickPeriod, [this] { tick(); });
 }
 
 void state_bootstrap::requestState(store_connection &Connection,
@@ -69,8 +69,8 @@
     return;
   auto Changes = decodeChanges(Response.Body);
   if (!Changes) {
-    Node.Log.write(log_kind::Belief, "state_unreadable", {{"from", Control}},
-                   Node.Loop.now());
+    Node.Log.write(log_kind::ClusterState, "state_unreadable",
+                   {{"from", Control}}, Node.Loop.now());
     return;
   }
   for (const std::string &Other : Changes->Sources)
--- a/Services/Node/state_server.cpp
+++ b/Services/Node/state_server.cpp
@@ -45,7 +45,7 @@
   return Head;
 }
 
-small_answer state_server::handleQuery(std::string_view Query) {
+small_response state_server::handleQuery(std::string_view Query) {
   const known_revisions Known = parseKnownRevisions(Query);
   const bool IsNew = std::all_of(Known.begin(), Known.end(),
                                  [](std::uint64_t At) { return At == 0; });
@@ -53,7 +53,7 @@
     return serveNewInstance(Query);
   cache_changes Changes = responseHead();
   Changes.Kinds = changesSince(State.cache(), Known).Kinds;
-  Node.Metrics.count("amaranthhoist_state_polls_answered_total");
+  Node.Metrics.incrementCounter("amaranthhoist_state_polls_answered_total");
   return {200, ContentType, encodeChanges(Changes)};
 }
 
@@ -66,7 +66,7 @@
   return FullSnapshot;
 }
 
-small_answer state_server::serveNewInstance(std::string_view Query) {
+small_response state_server::serveNewInstance(std::string_view Query) {
   const snapshot_requester Asker{
       queryValue(Query, "domain"), queryValue(Query, "region"),
       queryValue(Query, "control"), queryValue(Query, "peer")};
@@ -78,10 +78,10 @@
   const packed_kinds &Kinds = fullSnapshot();
   if (!mayServeSnapshot(HandOut, Asker, Kinds.Bytes.size(), Node.Loop.now())) {
     Head.Sources = referralsFor(HandOut, Asker);
-    Node.Metrics.count("amaranthhoist_whole_lists_referred_total");
+    Node.Metrics.incrementCounter("amaranthhoist_whole_lists_referred_total");
     return {StatusUnavailable, ContentType, encodeChanges(Head, {})};
   }
-  Node.Metrics.count("amaranthhoist_whole_lists_handed_out_total");
+  Node.Metrics.incrementCounter("amaranthhoist_whole_lists_handed_out_total");
   return {200, ContentType, encodeChanges(Head, Kinds)};
 }
 
--- a/Services/Node/state_server.h
+++ b/Services/Node/state_server.h
@@ -30,7 +30,7 @@
   state_server(node &Node, const replicated_state &State,
                std::function<duration()> StateAge);
 
-  small_answer handleQuery(std::string_view Query);
+  small_response handleQuery(std::string_view Query);
 
   /// Time until that many full snapshots have been sent.
   duration timeToHandOut(std::size_t Lists);
@@ -39,7 +39,7 @@
   std::vector<std::string> popWaiting();
 
 private:
-  small_answer serveNewInstance(std::string_view Query);
+  small_response serveNewInstance(std::string_view Query);
   const packed_kinds &fullSnapshot();
   cache_changes responseHead() const;
 
--- a/Services/Node/store_connection.cpp
+++ b/Services/Node/store_connection.cpp
@@ -54,7 +54,7 @@
 
 void store_connection::startTimer() {
   Node.Loop.cancel(Timer);
-  Timer = Node.Loop.after(SilenceTimeout, [this] {
+  Timer = Node.Loop.runAfter(SilenceTimeout, [this] {
     Timer = 0;
     dropConnection();
     finish(0);
--- a/Services/Node/store_sync.cpp
+++ b/Services/Node/store_sync.cpp
@@ -42,8 +42,8 @@
   Node.BootstrapDeadline = Now + BootstrapTimeout;
   Bootstrap.start();
   decide();
-  Node.Loop.after(Bootstrap.storeFallbackAt() - Now, [this] { decide(); });
-  Node.Loop.every(DecisionPeriod, [this] { decide(); });
+  Node.Loop.runAfter(Bootstrap.storeFallbackAt() - Now, [this] { decide(); });
+  Node.Loop.runEvery(DecisionPeriod, [this] { decide(); });
 }
 
 instant store_sync::freshAt() const {
@@ -113,7 +113,7 @@
   const bool FromStore = Bootstrap.source().empty();
   if (FromStore)
     RespondedAt = BootstrappedAt;
-  Node.Log.write(log_kind::Belief, "state_learned",
+  Node.Log.write(log_kind::ClusterState, "state_learned",
                  {{"from", FromStore ? "store" : Bootstrap.source()},
                   {"age_ms", age().count() / 1'000}},
                  Node.Loop.now());
@@ -121,10 +121,10 @@
     AnnounceState(Address);
   std::size_t AnnouncedCount = 0;
   for (const std::string &Name : membersToNotify(Node.Fleet, FromStore))
-    Node.Loop.after(Server.timeToHandOut(AnnouncedCount++),
-                    [this, Peer = Node.Fleet.Members.at(Name).Peer] {
-                      AnnounceState(Peer);
-                    });
+    Node.Loop.runAfter(Server.timeToHandOut(AnnouncedCount++),
+                       [this, Peer = Node.Fleet.Members.at(Name).Peer] {
+                         AnnounceState(Peer);
+                       });
 }
 
 void store_sync::startFollowers() {
@@ -150,7 +150,7 @@
   if (!UsesStore)
     for (kind_follower &Follower : Followers)
       Follower.stop();
-  Node.Log.write(log_kind::Belief,
+  Node.Log.write(log_kind::ClusterState,
                  UsesStore ? "asks_store_itself" : "asks_peers", {},
                  Node.Loop.now());
 }
@@ -167,14 +167,14 @@
   Node.Loop.cancel(NextProbe);
   if (!UsesStore)
     return;
-  NextProbe =
-      Node.Loop.after(IsStoreUnconfirmed ? UnconfirmedProbePeriod : ProbePeriod,
-                      [this] { probe(); });
+  NextProbe = Node.Loop.runAfter(IsStoreUnconfirmed ? UnconfirmedProbePeriod
+                                                    : ProbePeriod,
+                                 [this] { probe(); });
   // A slow response may take longer than the period while the store is
   // unconfirmed.
   if (Prober.isBusy())
     return;
-  Node.Metrics.count("amaranthhoist_store_probes_total");
+  Node.Metrics.incrementCounter("amaranthhoist_store_probes_total");
   Prober.call("GET", platform::encodeProbePath(object_kind::Evacuation), {},
               ProbeTimeout, [this](const store_response &Response) {
                 handleProbeResult(Response.Status == 200);
@@ -186,7 +186,8 @@
     return;
   if (!IsAnswered) {
     if (!HadProbeTimeout)
-      Node.Log.write(log_kind::Belief, "store_silent", {}, Node.Loop.now());
+      Node.Log.write(log_kind::ClusterState, "store_silent", {},
+                     Node.Loop.now());
     IsStoreUnconfirmed = true;
     HadProbeTimeout = true;
     // An unresponsive store charges for each call that it doesn't respond to;
@@ -206,7 +207,8 @@
 void store_sync::onStoreResponsive() {
   IsStoreUnconfirmed = false;
   if (HadProbeTimeout) {
-    Node.Log.write(log_kind::Belief, "store_answers", {}, Node.Loop.now());
+    Node.Log.write(log_kind::ClusterState, "store_answers", {},
+                   Node.Loop.now());
     State.onStoreOutage();
   }
   HadProbeTimeout = false;
@@ -226,7 +228,8 @@
         Cleaner.isBusy())
       continue;
     DownSince[Name] = Now;
-    Node.Log.write(log_kind::Belief, "instance_gone", {{"peer", Name}}, Now);
+    Node.Log.write(log_kind::ClusterState, "instance_gone", {{"peer", Name}},
+                   Now);
     Cleaner.call(
         "DELETE",
         platform::encodeObjectPath(object_kind::Instance, Name, std::nullopt),
--- a/Services/Node/store_sync.h
+++ b/Services/Node/store_sync.h
@@ -47,7 +47,7 @@
     Bootstrap.onSourceAnnounced(Control);
   }
   /// Responds to an instance that asks for changes.
-  small_answer handlePeerQuery(std::string_view Query) {
+  small_response handlePeerQuery(std::string_view Query) {
     return Server.handleQuery(Query);
   }
   [[nodiscard]] store_status status() const;
--- a/Services/Node/target_pool.cpp
+++ b/Services/Node/target_pool.cpp
@@ -23,15 +23,15 @@
 static constexpr duration SweepPeriod = std::chrono::seconds(1);
 
 target_pool::target_pool(node &Node) : Node(Node), Crashes(Node) {
-  Node.Loop.every(SweepPeriod, [this] { closeStaleConnections(); });
+  Node.Loop.runEvery(SweepPeriod, [this] { closeStaleConnections(); });
 }
 
 bool target_pool::mayReuse(const client_connection &Connection,
                            work_class Class) const {
   if (!Connection.isOpen())
     return false;
-  const duration Kept = Connection.KeptFor > duration::zero()
-                            ? Connection.KeptFor
+  const duration Kept = Connection.KeepAliveTimeout > duration::zero()
+                            ? Connection.KeepAliveTimeout
                             : DefaultKeepAlive;
   duration Usable = Kept - KeepAliveMargin;
   if (Class == work_class::NonIdempotent)
--- a/Tests/NodeProcesses/explain_test.cpp
+++ b/Tests/NodeProcesses/explain_test.cpp
@@ -19,7 +19,7 @@
   for (const auto &Node : Fleet.Nodes) {
     const std::string Log = Fleet.logOf(*Node);
     for (std::string_view Line : split(Log, '\n'))
-      Reader.take(Line);
+      Reader.addLine(Line);
   }
   return makeTrace(Reader);
 }
--- a/Tests/NodeProcesses/node_fleet.cpp
+++ b/Tests/NodeProcesses/node_fleet.cpp
@@ -212,7 +212,7 @@
   bool IsOver = false;
   // Calls may be nested: only the innermost active loop may be stopped.
   bool IsRunning = false;
-  timer_id Limit = Loop.after(Time, [&] {
+  timer_id Limit = Loop.runAfter(Time, [&] {
     IsOver = true;
     Loop.stop();
   });
@@ -229,7 +229,7 @@
     if (IsOver)
       Loop.stop();
     else
-      Check = Loop.after(CheckPeriod, Look);
+      Check = Loop.runAfter(CheckPeriod, Look);
   };
   Look();
   IsRunning = true;
@@ -241,7 +241,7 @@
 }
 
 void node_fleet::runFor(duration Time) {
-  Loop.after(Time, [this] { Loop.stop(); });
+  Loop.runAfter(Time, [this] { Loop.stop(); });
   Loop.run();
 }
 
--- a/Tests/NodeProcesses/stand_in_server.cpp
+++ b/Tests/NodeProcesses/stand_in_server.cpp
@@ -59,29 +59,29 @@
   Server.onRequest(*this);
 }
 
-void stand_in_connection::onEnd(stream_end /*End*/) {
+void stand_in_connection::onDisconnect(stream_end /*End*/) {
   Server.onConnectionEnd(*this);
   Server.retire(Number);
 }
 
 void stand_in_connection::respond(int Status, std::string_view Fields,
                                   std::string_view AnswerBody) {
-  Stream.write(cat("HTTP/1.1 ", Status, " ", reasonOf(Status), "\r\n", Fields,
-                   "Content-Length: ", AnswerBody.size(), "\r\n\r\n",
+  Stream.write(cat("HTTP/1.1 ", Status, " ", reasonPhrase(Status), "\r\n",
+                   Fields, "Content-Length: ", AnswerBody.size(), "\r\n\r\n",
                    AnswerBody));
   Reader.reset();
 }
 
 stand_in_server::stand_in_server(event_loop &Loop)
     : Loop(Loop), Address(freeAddress()) {
-  Loop.atEndOfRound([this] { Retired.clear(); });
+  Loop.atEndOfIteration([this] { Retired.clear(); });
   listen();
 }
 
 stand_in_server::~stand_in_server() { shutDown(); }
 
 void stand_in_server::listen() {
-  auto Descriptor = listenAt(*parseEndpoint(Address));
+  auto Descriptor = listenOn(*parseEndpoint(Address));
   if (!Descriptor || !Loop.watch(*Descriptor, *this))
     std::abort();
   Listener = *Descriptor;
@@ -110,7 +110,7 @@
 void stand_in_server::onEvent(const io_event & /*Event*/) {
   bool OutOfDescriptors = false;
   for (;;) {
-    const int Descriptor = acceptFrom(Listener, OutOfDescriptors);
+    const int Descriptor = acceptConnection(Listener, OutOfDescriptors);
     if (Descriptor < 0)
       return;
     auto Connection =
--- a/Tests/NodeProcesses/target_stand_in.cpp
+++ b/Tests/NodeProcesses/target_stand_in.cpp
@@ -39,10 +39,10 @@
   InFlight[Connection.Number] = RequestId;
   const std::uint64_t Number = Connection.Number;
   if (!CrashingPath.empty() && Head.target() == CrashingPath) {
-    Loop.after(Work, [this] { crash(); });
+    Loop.runAfter(Work, [this] { crash(); });
     return;
   }
-  Loop.after(Work, [this, Number, RequestId] { finish(Number, RequestId); });
+  Loop.runAfter(Work, [this, Number, RequestId] { finish(Number, RequestId); });
 }
 
 void target_stand_in::crash() {
--- a/Tests/Soak/link_proxy.cpp
+++ b/Tests/Soak/link_proxy.cpp
@@ -62,7 +62,7 @@
     bool IsToServer = false;
     instant Due{};
     std::string Bytes;
-    stream_end End = stream_end::InOrder;
+    stream_end End = stream_end::Graceful;
   };
 
   class side : public stream_owner {
@@ -73,7 +73,7 @@
     void onBytes(std::string_view Bytes) override {
       Owner.enqueue({IsToServer, {}, std::string(Bytes), {}});
     }
-    void onEnd(stream_end End) override {
+    void onDisconnect(stream_end End) override {
       Owner.enqueue({IsToServer, {}, {}, End});
     }
 
@@ -102,8 +102,8 @@
       To.write(Piece.Bytes);
       return;
     }
-    if (Piece.End == stream_end::InOrder)
-      To.endWhenDrained();
+    if (Piece.End == stream_end::Graceful)
+      To.shutdownWhenFlushed();
     else
       To.closeWithReset();
     if (!Caller.isOpen() && !Server.isOpen())
@@ -121,14 +121,14 @@
 
 link_proxy::link_proxy(event_loop &Loop, std::string Server)
     : Loop(Loop), Server(std::move(Server)), Address(freeAddress()) {
-  Loop.atEndOfRound([this] { Retired.clear(); });
+  Loop.atEndOfIteration([this] { Retired.clear(); });
   listen();
 }
 
 link_proxy::~link_proxy() { goDown(); }
 
 void link_proxy::listen() {
-  auto Descriptor = listenAt(*parseEndpoint(Address));
+  auto Descriptor = listenOn(*parseEndpoint(Address));
   if (!Descriptor || !Loop.watch(*Descriptor, *this))
     std::abort();
   Listener = *Descriptor;
@@ -162,8 +162,8 @@
 
 void link_proxy::onEvent(const io_event & /*Event*/) {
   bool OutOfDescriptors = false;
-  for (int Accepted = acceptFrom(Listener, OutOfDescriptors); Accepted >= 0;
-       Accepted = acceptFrom(Listener, OutOfDescriptors)) {
+  for (int Accepted = acceptConnection(Listener, OutOfDescriptors);
+       Accepted >= 0; Accepted = acceptConnection(Listener, OutOfDescriptors)) {
     auto Connection = std::make_unique<proxied_connection>(*this);
     proxied_connection *Raw = Connection.get();
     Connections.emplace(Raw, std::move(Connection));
--- a/Tests/Soak/soak_caller.cpp
+++ b/Tests/Soak/soak_caller.cpp
@@ -16,7 +16,7 @@
                          std::function<std::string()> ChooseNode)
     : Loop(Loop), Name(std::move(Name)), Random(Seed),
       ChooseNode(std::move(ChooseNode)) {
-  Loop.atEndOfRound([this] { Retired.clear(); });
+  Loop.atEndOfIteration([this] { Retired.clear(); });
 }
 
 soak_caller::~soak_caller() { Loop.cancel(Timer); }
--- a/Tests/http_message_test.cpp
+++ b/Tests/http_message_test.cpp
@@ -94,12 +94,12 @@
   message_reader Reader(message_kind::Response, HeadLimit);
   Reader.feed("HTTP/1.1 200 OK\r\n\r\npart");
   CHECK(Reader.state() == read_state::InBody);
-  CHECK(Reader.endsWithConnection());
-  Reader.feedEnd();
+  CHECK(Reader.bodyEndsAtClose());
+  Reader.finishAtClose();
   CHECK(Reader.state() == read_state::Complete);
   message_reader WithLength(message_kind::Response, HeadLimit);
   WithLength.feed("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart");
-  WithLength.feedEnd();
+  WithLength.finishAtClose();
   CHECK(WithLength.state() == read_state::InBody);
 }
 
--- a/Tests/quarantine_test.cpp
+++ b/Tests/quarantine_test.cpp
@@ -281,8 +281,8 @@
     std::iota(Order.begin(), Order.end(), 0);
     std::partial_sort(Order.begin(), Order.begin() + SuspicionOwners,
                       Order.end(), [&](std::size_t Left, std::size_t Right) {
-                        return rendezvousRank(Left, Content) >
-                               rendezvousRank(Right, Content);
+                        return rendezvousScore(Left, Content) >
+                               rendezvousScore(Right, Content);
                       });
     Order.resize(SuspicionOwners);
     return Order;
--- a/Tests/request_trace_test.cpp
+++ b/Tests/request_trace_test.cpp
@@ -13,7 +13,7 @@
                          std::initializer_list<std::string_view> Lines) {
   trace_reader Reader(Id);
   for (std::string_view Line : Lines)
-    Reader.take(Line);
+    Reader.addLine(Line);
   return makeTrace(Reader);
 }
 
@@ -56,15 +56,15 @@
 
 TEST(RequestTrace, SkipsOtherRequestsAndInvalidLines) {
   trace_reader Reader("r1");
-  Reader.take("  12.3 n1 noise");
-  Reader.take("{broken");
-  Reader.take("");
-  Reader.take(R"({"no":"event"})");
-  Reader.take(R"({"event":"refused","request":"r2"})");
+  Reader.addLine("  12.3 n1 noise");
+  Reader.addLine("{broken");
+  Reader.addLine("");
+  Reader.addLine(R"({"no":"event"})");
+  Reader.addLine(R"({"event":"refused","request":"r2"})");
   // A log collector may prefix the line with its own time.
-  Reader.take(R"(12.5 n1 {"event":"answered","request":"r1","status":200})");
-  LONGS_EQUAL(1, Reader.own().size());
-  LONGS_EQUAL(3, Reader.unreadable());
+  Reader.addLine(R"(12.5 n1 {"event":"answered","request":"r1","status":200})");
+  LONGS_EQUAL(1, Reader.requestLines().size());
+  LONGS_EQUAL(3, Reader.skippedLines());
 }
 
 // Guards against comparing the monotonic clocks of two processes. When the
--- a/Utilities/amaranthhoist/node_commands.cpp
+++ b/Utilities/amaranthhoist/node_commands.cpp
@@ -18,7 +18,7 @@
 static void addLines(std::string_view Text, trace_reader &Reader) {
   while (!Text.empty()) {
     const std::size_t End = Text.find('\n');
-    Reader.take(Text.substr(0, End));
+    Reader.addLine(Text.substr(0, End));
     Text.remove_prefix(End == std::string_view::npos ? Text.size() : End + 1);
   }
 }
@@ -38,8 +38,8 @@
     Files.emplace_back("-");
   for (const std::string &File : Files)
     addLines(TRY(readFile(File)), Reader);
-  if (Reader.unreadable() > 0)
-    std::cerr << "skipped " << Reader.unreadable()
+  if (Reader.skippedLines() > 0)
+    std::cerr << "skipped " << Reader.skippedLines()
               << " lines that are not log lines\n";
   const request_trace Trace = makeTrace(Reader);
   if (Context.Output == output_format::Json)
