--- a/Libraries/Daemon/daemon.cpp
+++ b/Libraries/Daemon/daemon.cpp
@@ -48,7 +48,7 @@
     return exit_codes::Success;
   logLine(log_level::Error, Result.error().Message);
   return Result.error().Code == error_code::Unavailable
-             ? exit_codes::AddressTaken
+             ? exit_codes::AddressInUse
              : exit_codes::Failure;
 }
 
--- a/Libraries/Daemon/daemon.h
+++ b/Libraries/Daemon/daemon.h
@@ -14,7 +14,7 @@
 inline constexpr int Failure = 1;
 inline constexpr int Usage = 2;
 /// Another process has bound the address, or it cannot be bound.
-inline constexpr int AddressTaken = 3;
+inline constexpr int AddressInUse = 3;
 } // namespace exit_codes
 
 /// Runs a daemon: reads `--settings FILE`, initialises the log and calls \p
--- a/Utilities/BackendStandIn/main.cpp
+++ b/Utilities/BackendStandIn/main.cpp
@@ -50,7 +50,7 @@
     Servers.push_back(std::make_unique<backend_server>(*Options, Meter));
     if (const auto Started = Servers.back()->start(); !Started) {
       std::cerr << Started.error().Message << "\n";
-      return exit_codes::AddressTaken;
+      return exit_codes::AddressInUse;
     }
   }
   waitForStop();
--- a/Utilities/PlatformStandIn/main.cpp
+++ b/Utilities/PlatformStandIn/main.cpp
@@ -21,7 +21,7 @@
       });
   if (!Server) {
     std::cerr << Server.error().Message << "\n";
-    return exit_codes::AddressTaken;
+    return exit_codes::AddressInUse;
   }
   waitForStop();
   std::_Exit(exit_codes::Success);
