--- a/Libraries/EventLoop/stream.cpp
+++ b/Libraries/EventLoop/stream.cpp
@@ -89,7 +89,7 @@
     readAll(PeerDisconnected);
 }
 
-void stream::disconnect(stream_end Reason) {
+void stream::disconnect(disconnect_reason Reason) {
   if (Descriptor < 0)
     return;
   close();
@@ -106,12 +106,12 @@
     }
     const ssize_t Count = recv(Descriptor, Buffer.data(), Buffer.size(), 0);
     if (Count == 0) {
-      disconnect(stream_end::Graceful);
+      disconnect(disconnect_reason::Graceful);
       return;
     }
     if (Count < 0) {
       if (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR)
-        disconnect(stream_end::ConnectionLost);
+        disconnect(disconnect_reason::ConnectionLost);
       return;
     }
     const auto Size = static_cast<std::size_t>(Count);
@@ -125,7 +125,7 @@
 void stream::onEvent(const io_event &Event) {
   if (!IsConnected && (Event.Writable || Event.Disconnected)) {
     if (connectError(Descriptor) != 0) {
-      disconnect(stream_end::ConnectionLost);
+      disconnect(disconnect_reason::ConnectionLost);
       return;
     }
     if (!Event.Writable)
--- a/Libraries/EventLoop/stream.h
+++ b/Libraries/EventLoop/stream.h
@@ -27,7 +27,7 @@
   virtual void onBytes(std::string_view Bytes) = 0;
   /// The kernel has accepted all written bytes.
   virtual void onFlushed() {}
-  virtual void onDisconnect(stream_end Reason) = 0;
+  virtual void onDisconnect(disconnect_reason Reason) = 0;
 };
 
 class stream : public io_handler {
@@ -69,7 +69,7 @@
 private:
   void readAll(bool UntilEof);
   void flush();
-  void disconnect(stream_end Reason);
+  void disconnect(disconnect_reason Reason);
 
   event_loop &Loop;
   stream_owner &Owner;
--- a/Libraries/Gateway/completion.cpp
+++ b/Libraries/Gateway/completion.cpp
@@ -94,11 +94,11 @@
     return;
   if (Event.Draining)
     markTargetDraining(Node, Name, true, Actions);
-  const bool Healthy = Event.End == target_end::Completed;
-  if (Event.End != target_end::Stopped)
+  const bool Healthy = Event.End == attempt_end::Completed;
+  if (Event.End != attempt_end::Stopped)
     recordTargetResult(Found->second, Node.Settings.Targets, Healthy,
                        Event.Elapsed, Now);
-  if (Event.End == target_end::NotReached)
+  if (Event.End == attempt_end::NotReached)
     recordConnectionRefused(Found->second, Node.Settings.Targets);
 }
 
@@ -106,10 +106,10 @@
 static bool mayRetry(gateway_node &Node, const work_item &Item,
                      const attempt_ended &Event, moment Moment) {
   const bool NotExecuted =
-      Event.End == target_end::NotReached || Event.End == target_end::Shed;
+      Event.End == attempt_end::NotReached || Event.End == attempt_end::Shed;
   const bool SafeToRetry = Item.Request.Class == work_class::Idempotent &&
                            !Event.Streamed &&
-                           Event.End == target_end::Interrupted;
+                           Event.End == attempt_end::Interrupted;
   if (!NotExecuted && !SafeToRetry)
     return false;
   if (Item.Cancelled || Item.Attempts >= MaxAttempts)
@@ -128,7 +128,7 @@
 
 static void finishIdempotent(gateway_node &Node, const work_request &Request,
                              const attempt_ended &Event, actions &Actions) {
-  const bool Whole = Event.End == target_end::Completed;
+  const bool Whole = Event.End == attempt_end::Completed;
   finishWaiters(Node, {Request.Token}, Request,
                 Whole ? outcome::Answered : outcome::Refused,
                 Whole ? "" : "the backend server failed",
@@ -138,17 +138,17 @@
 static void finishKeyed(gateway_node &Node, const work_request &Request,
                         const attempt_ended &Event, actions &Actions) {
   switch (Event.End) {
-  case target_end::Completed:
+  case attempt_end::Completed:
     finishKey(Node, Request, key_state::Answered, outcome::Answered, "",
               Event.Response, Actions);
     return;
-  case target_end::NotReached:
-  case target_end::Shed:
+  case attempt_end::NotReached:
+  case attempt_end::Shed:
     finishKey(Node, Request, key_state::NotRun, outcome::NotRun,
               "no backend server took it", {}, Actions);
     return;
-  case target_end::Interrupted:
-  case target_end::Stopped:
+  case attempt_end::Interrupted:
+  case attempt_end::Stopped:
     finishKey(Node, Request, key_state::Unknown, outcome::Unknown,
               "the backend server's answer was lost", {}, Actions);
     return;
@@ -162,7 +162,7 @@
     return;
   work_item &Item = Found->second;
   recordAttemptEnd(Node, Item.Target, Event, Moment.Now, Actions);
-  settleUnits(Node, Item, Event.End != target_end::Interrupted, Moment.Now);
+  settleUnits(Node, Item, Event.End != attempt_end::Interrupted, Moment.Now);
   if (mayRetry(Node, Item, Event, Moment)) {
     retry(Node, Item);
   } else {
--- a/Libraries/Gateway/gateway.h
+++ b/Libraries/Gateway/gateway.h
@@ -140,7 +140,7 @@
 
 struct attempt_ended {
   std::uint64_t Token = 0;
-  target_end End = target_end::Interrupted;
+  attempt_end End = attempt_end::Interrupted;
   duration Elapsed{};
   /// Whether a part of the answer has reached the caller already.
   bool Streamed = false;
--- a/Libraries/HttpConnection/client_connection.cpp
+++ b/Libraries/HttpConnection/client_connection.cpp
@@ -137,11 +137,12 @@
     Failed->onFailure(Failure);
 }
 
-void client_connection::onDisconnect(stream_end Reason) {
+void client_connection::onDisconnect(disconnect_reason Reason) {
   IsReusable = false;
   if (!Owner)
     return;
-  if (Reason == stream_end::Graceful && HeadHandled && !IsSkippingResponse) {
+  if (Reason == disconnect_reason::Graceful && HeadHandled &&
+      !IsSkippingResponse) {
     Reader.finishAtClose();
     if (Reader.state() == read_state::Complete) {
       finish({});
--- a/Libraries/HttpConnection/client_connection.h
+++ b/Libraries/HttpConnection/client_connection.h
@@ -77,7 +77,7 @@
 private:
   void onConnected() override;
   void onBytes(std::string_view Bytes) override;
-  void onDisconnect(stream_end Reason) override;
+  void onDisconnect(disconnect_reason Reason) override;
   void handleHead();
   void finish(std::string_view Trailing);
   void failCall(bool Garbled);
--- a/Libraries/HttpConnection/small_server.cpp
+++ b/Libraries/HttpConnection/small_server.cpp
@@ -63,7 +63,7 @@
     Server.removeConnection(*this);
   }
 
-  void onDisconnect(stream_end /*Reason*/) override {
+  void onDisconnect(disconnect_reason /*Reason*/) override {
     Server.removeConnection(*this);
   }
 
--- a/Libraries/Quarantine/quarantine.cpp
+++ b/Libraries/Quarantine/quarantine.cpp
@@ -238,11 +238,12 @@
 }
 
 static std::vector<record_entry> findPending(quarantine &Quarantine,
-                                             bool IsForAll) {
+                                             bool IsBroadcast) {
   std::vector<record_entry> Pending;
   for (auto Entry = Quarantine.Records.begin();
        Entry != Quarantine.Records.end(); ++Entry)
-    if (Entry->second.PendingSends > 0 && Entry->second.IsBroadcast == IsForAll)
+    if (Entry->second.PendingSends > 0 &&
+        Entry->second.IsBroadcast == IsBroadcast)
       Pending.push_back(Entry);
   return Pending;
 }
@@ -273,7 +274,7 @@
 
 std::vector<crash_report> collectAnnouncements(quarantine &Quarantine,
                                                instant Now) {
-  auto Pending = findPending(Quarantine, /*IsForAll=*/true);
+  auto Pending = findPending(Quarantine, /*IsBroadcast=*/true);
   const quarantine_policy &Policy = Quarantine.Policy;
   if (Pending.empty() ||
       acquireSends(Quarantine.AnnouncementRate, Policy.AnnouncementsPerSecond,
@@ -285,7 +286,7 @@
 
 std::vector<crash_report> collectSuspicions(quarantine &Quarantine,
                                             instant Now) {
-  auto Pending = findPending(Quarantine, /*IsForAll=*/false);
+  auto Pending = findPending(Quarantine, /*IsBroadcast=*/false);
   const std::size_t Count =
       acquireSends(Quarantine.SuspicionRate,
                    Quarantine.Policy.SuspicionsPerSecond, Pending.size(), Now);
--- a/Libraries/StateSpread/spread_tree.cpp
+++ b/Libraries/StateSpread/spread_tree.cpp
@@ -91,16 +91,17 @@
   return Members;
 }
 
-spread_role ownRole(const fleet &Fleet) {
+distribution_role ownRole(const fleet &Fleet) {
   const members Ranking = watcherRanking(Fleet);
   const members First(Ranking.begin(),
                       Ranking.begin() +
                           static_cast<std::ptrdiff_t>(
                               std::min(Ranking.size(), WatchersPerRegion)));
   if (contains(First, &Fleet.Own))
-    return spread_role::Watcher;
-  return contains(relaysOf(Fleet, Ranking), &Fleet.Own) ? spread_role::Relay
-                                                        : spread_role::Leaf;
+    return distribution_role::Watcher;
+  return contains(relaysOf(Fleet, Ranking), &Fleet.Own)
+             ? distribution_role::Relay
+             : distribution_role::Leaf;
 }
 
 /// Rotates by this instance's hash, so that instances start with different
--- a/Libraries/StateSpread/spread_tree.h
+++ b/Libraries/StateSpread/spread_tree.h
@@ -35,7 +35,7 @@
 
 /// Role of an instance in the distribution tree.
 enum class distribution_role : std::uint8_t { Watcher, Relay, Leaf };
-spread_role ownRole(const fleet &Fleet);
+distribution_role ownRole(const fleet &Fleet);
 
 /// Returns the instances to poll for changes, in an order specific to this
 /// instance: the relays of its failure domain, or the region's watchers. Empty
--- a/Libraries/StoreClient/list_watch.cpp
+++ b/Libraries/StoreClient/list_watch.cpp
@@ -10,7 +10,7 @@
   return {Watch.Next, Watch.After, Watch.Revision, Watch.AllowStale};
 }
 
-std::vector<stored_object> *handlePage(list_watch &Watch, list_page Page) {
+std::vector<stored_object> *applyPage(list_watch &Watch, list_page Page) {
   Watch.ConsecutiveFailures = 0;
   if (Watch.After.empty()) {
     Watch.Pages.clear();
@@ -32,7 +32,7 @@
   return &Watch.Pages;
 }
 
-duration handleBatch(list_watch &Watch, const change_batch &Batch) {
+duration applyBatch(list_watch &Watch, const change_batch &Batch) {
   Watch.ConsecutiveFailures = 0;
   Watch.Revision = std::max(Watch.Revision, Batch.AtRevision);
   return Batch.Changes.empty() ? duration::zero() : Watch.Delays.AfterChanges;
--- a/Libraries/StoreClient/list_watch.h
+++ b/Libraries/StoreClient/list_watch.h
@@ -98,10 +98,10 @@
 
 /// Handles a page. Returns all objects once the list is complete, nullptr
 /// before. They correspond to the revision Watch.Revision.
-std::vector<stored_object> *handlePage(list_watch &Watch, list_page Page);
+std::vector<stored_object> *applyPage(list_watch &Watch, list_page Page);
 
 /// Handles changes; returns the delay before the next call.
-duration handleBatch(list_watch &Watch, const change_batch &Batch);
+duration applyBatch(list_watch &Watch, const change_batch &Batch);
 
 /// Makes the next call a list. A watch that ended without a response may have
 /// missed changes, and a new watch from its revision may wait until its own
--- a/Services/Gateway/gateway_daemon.cpp
+++ b/Services/Gateway/gateway_daemon.cpp
@@ -198,7 +198,7 @@
       Payload = Found->second;
   }
   if (!Payload) {
-    step(Shard, attempt_ended{Action.Token, target_end::NotReached});
+    step(Shard, attempt_ended{Action.Token, attempt_end::NotReached});
     return;
   }
   Workers.submit(
@@ -346,7 +346,7 @@
   const std::lock_guard Guard(ShardsLock);
   return std::all_of(Shards.begin(), Shards.end(), [](auto &Entry) {
     const std::lock_guard NodeGuard(Entry.second->Lock);
-    return hasLeft(Entry.second->Node);
+    return hasShutDown(Entry.second->Node);
   });
 }
 
--- a/Services/Gateway/target_exchange.cpp
+++ b/Services/Gateway/target_exchange.cpp
@@ -127,18 +127,18 @@
   return Result.End == call_end::Complete && Result.Status == 200;
 }
 
-static target_end classifyEnd(const exchange_request &Request,
-                              const http_call_result &Result, bool Own) {
+static attempt_end classifyEnd(const exchange_request &Request,
+                               const http_call_result &Result, bool Own) {
   if (Result.End == call_end::NotConnected)
-    return target_end::NotReached;
+    return attempt_end::NotReached;
   if (Result.End == call_end::Complete && Own) {
     if (Result.Status == 503 && headerOr(Result.Headers, "x-not-run") == "1")
-      return target_end::Shed;
-    return target_end::Completed;
+      return attempt_end::Shed;
+    return attempt_end::Completed;
   }
   if (Request.Class == work_class::Idempotent && cancelAtTarget(Request))
-    return target_end::Stopped;
-  return target_end::Interrupted;
+    return attempt_end::Stopped;
+  return attempt_end::Interrupted;
 }
 
 exchange_result runExchange(client_pool &Clients,
@@ -150,7 +150,7 @@
   Result.End = classifyEnd(Request, Call, Sink.isOwn());
   Result.Streamed = Sink.isStreaming();
   Result.Draining = headerOr(Call.Headers, "x-draining") == "1";
-  Sink.finish(Result.End == target_end::Completed);
+  Sink.finish(Result.End == attempt_end::Completed);
   Result.Response.Status = Call.Status;
   Result.Response.ContentType = headerOr(Call.Headers, "content-type");
   Result.Response.Body = Sink.takeCollected();
--- a/Services/Gateway/target_exchange.h
+++ b/Services/Gateway/target_exchange.h
@@ -54,7 +54,7 @@
 };
 
 struct exchange_result {
-  target_end End = target_end::Interrupted;
+  attempt_end End = attempt_end::Interrupted;
   bool Streamed = false;
   bool Draining = false;
   /// The whole response, unless it was streamed.
--- a/Services/Node/caller_connection.cpp
+++ b/Services/Node/caller_connection.cpp
@@ -79,7 +79,7 @@
   Server.retire(*this);
 }
 
-void caller_connection::onDisconnect(stream_end /*End*/) {
+void caller_connection::onDisconnect(disconnect_reason /*End*/) {
   Node.Loop.cancel(Timer);
   while (!Slots.empty()) {
     // The server keeps exchanges that continue without the caller.
@@ -293,7 +293,7 @@
     retireFirst();
     if (IsAborted) {
       Stream.closeWithReset();
-      onDisconnect(stream_end::ConnectionLost);
+      onDisconnect(disconnect_reason::ConnectionLost);
       return;
     }
     if (ClosesConnection) {
--- a/Services/Node/caller_connection.h
+++ b/Services/Node/caller_connection.h
@@ -40,7 +40,7 @@
 private:
   void onBytes(std::string_view Bytes) override;
   void onFlushed() override;
-  void onDisconnect(stream_end End) override;
+  void onDisconnect(disconnect_reason End) override;
 
   bool isFirst(const response_slot &Slot) const override;
   void sendNow(std::string_view Bytes) override { Stream.write(Bytes); }
--- a/Services/Node/crash_probe.cpp
+++ b/Services/Node/crash_probe.cpp
@@ -56,7 +56,9 @@
 private:
   void onConnected() override { finish(/*IsAlive=*/true); }
   void onBytes(std::string_view /*Bytes*/) override {}
-  void onDisconnect(stream_end /*End*/) override { finish(/*IsAlive=*/false); }
+  void onDisconnect(disconnect_reason /*End*/) override {
+    finish(/*IsAlive=*/false);
+  }
 
   void finish(bool IsAlive) {
     Stream.close();
--- a/Services/Node/kind_follower.cpp
+++ b/Services/Node/kind_follower.cpp
@@ -102,7 +102,7 @@
   if (!Page)
     return false;
   NextDelay = DelayAfterList;
-  auto *All = handlePage(Watch, std::move(*Page));
+  auto *All = applyPage(Watch, std::move(*Page));
   if (!All)
     return true;
   kind_changes Changes{Kind, Watch.Revision, /*IsFull=*/true, {}};
@@ -118,7 +118,7 @@
   auto Batch = platform::decodeBatch(Body);
   if (!Batch)
     return false;
-  NextDelay = handleBatch(Watch, *Batch);
+  NextDelay = applyBatch(Watch, *Batch);
   kind_changes Changes{Kind, Watch.Revision, /*IsFull=*/false, {}};
   for (stored_change &Change : Batch->Changes)
     Changes.Changes.push_back(
--- a/Services/Node/relay_link.cpp
+++ b/Services/Node/relay_link.cpp
@@ -87,7 +87,7 @@
 }
 
 void relay_link::poll() {
-  const bool IsRelay = ownRole(Node.Fleet) == spread_role::Relay;
+  const bool IsRelay = ownRole(Node.Fleet) == distribution_role::Relay;
   NextPoll = Node.Loop.runAfter(IsRelay ? RelayPollPeriod : PollPeriod, [this] {
     NextPoll = 0;
     poll();
--- a/Services/Node/replicated_state.cpp
+++ b/Services/Node/replicated_state.cpp
@@ -52,7 +52,7 @@
 
 bool replicated_state::hasFullState() const {
   return std::all_of(Cache.Kinds.begin(), Cache.Kinds.end(),
-                     [](const auto &Kind) { return Kind.HasState; });
+                     [](const auto &Kind) { return Kind.HasFullState; });
 }
 
 void replicated_state::update(kind_changes Changes) {
@@ -139,7 +139,7 @@
   if (!Entry) {
     // An entry that can't be decoded names no usable server, whichever writer
     // made it.
-    removeTarget(Node.Steering.Targets, Change.Name, /*ListIsSure=*/true);
+    removeTarget(Node.Steering.Targets, Change.Name, /*ListIsComplete=*/true);
     logUnreadable(object_kind::Target, Change.Name, Entry.error().Message);
     return;
   }
--- a/Services/Node/store_sync.cpp
+++ b/Services/Node/store_sync.cpp
@@ -58,11 +58,11 @@
 
 static std::string_view roleName(const fleet &Fleet) {
   switch (ownRole(Fleet)) {
-  case spread_role::Watcher:
+  case distribution_role::Watcher:
     return "watcher";
-  case spread_role::Relay:
+  case distribution_role::Relay:
     return "relay";
-  case spread_role::Leaf:
+  case distribution_role::Leaf:
     return "leaf";
   }
   return "leaf";
--- a/Tests/NodeProcesses/crashing_request_test.cpp
+++ b/Tests/NodeProcesses/crashing_request_test.cpp
@@ -16,7 +16,7 @@
 constexpr const char *DeadlyPath = "/safe/deadly";
 constexpr int Servers = 12;
 /// Servers that a request may crash before it is quarantined.
-constexpr int CrashesAllowed = 3;
+constexpr int CrashThreshold = 3;
 /// Further crashes allowed after the quarantine announcements have spread.
 constexpr int RetriesAllowed = 3;
 /// Time within which connected nodes synchronize their state.
@@ -52,7 +52,7 @@
 
   /// Sends the request until three servers have crashed.
   void crashThree() {
-    while (crashes() < CrashesAllowed && Asked < Servers)
+    while (crashes() < CrashThreshold && Asked < Servers)
       askDeadly(*Nodes[0]);
     removeCrashed();
   }
--- a/Tests/NodeProcesses/pipelined_test.cpp
+++ b/Tests/NodeProcesses/pipelined_test.cpp
@@ -42,7 +42,7 @@
 
 private:
   void onBytes(std::string_view More) override { Bytes.append(More); }
-  void onDisconnect(stream_end /*End*/) override { HasEnded = true; }
+  void onDisconnect(disconnect_reason /*End*/) override { HasEnded = true; }
 
   stream Stream;
 };
--- a/Tests/NodeProcesses/stand_in_server.cpp
+++ b/Tests/NodeProcesses/stand_in_server.cpp
@@ -59,7 +59,7 @@
   Server.onRequest(*this);
 }
 
-void stand_in_connection::onDisconnect(stream_end /*End*/) {
+void stand_in_connection::onDisconnect(disconnect_reason /*End*/) {
   Server.onConnectionEnd(*this);
   Server.retire(Number);
 }
--- a/Tests/NodeProcesses/stand_in_server.h
+++ b/Tests/NodeProcesses/stand_in_server.h
@@ -38,7 +38,7 @@
 
 private:
   void onBytes(std::string_view Bytes) override;
-  void onDisconnect(stream_end End) override;
+  void onDisconnect(disconnect_reason End) override;
 
   stand_in_server &Server;
   stream Stream;
--- a/Tests/Scheduler/world.cpp
+++ b/Tests/Scheduler/world.cpp
@@ -73,7 +73,7 @@
     at(Begin, [this] { drainAll(true); });
     at(End, [this] { drainAll(false); });
   }
-  if (has(fault::TargetLeaves))
+  if (has(fault::TargetDrains))
     at(Begin, [this] {
       const std::string Target = Targets.front().Name;
       Retired.insert(Target);
--- a/Tests/Scheduler/world.h
+++ b/Tests/Scheduler/world.h
@@ -39,7 +39,7 @@
   /// Writes to the platform take effect, but their responses are lost.
   LostWrites,
   /// Backend servers execute requests, but the responses are lost.
-  LostAnswers,
+  LostResponses,
   /// Backend servers respond 503 and state that the request was not executed.
   Shedding,
   /// The load of a site arrives from all entries at the same time.
@@ -47,7 +47,7 @@
   /// An operator drains a site while long requests are in progress.
   DrainSite,
   /// A target announces in a response header only that it is draining.
-  TargetLeaves,
+  TargetDrains,
 };
 
 /// Mechanisms that can be disabled, to verify that the checker detects the
@@ -61,13 +61,13 @@
   /// Updates of the pool record are unconditional.
   UnconditionalWrites,
   /// A late duplicate of a loan is applied again.
-  LoansTakenTwice,
+  LoansAppliedTwice,
   /// The key table drops executed requests.
   ForgottenKeys,
   /// The shares of dead holders are reclaimed immediately.
   ReclaimAtOnce,
   /// Gateways ignore that a target is draining.
-  LeavingIgnored,
+  DrainingIgnored,
   /// A drain cancels the requests in progress.
   DrainCancels,
 };
--- a/Tests/Scheduler/world_callers.cpp
+++ b/Tests/Scheduler/world_callers.cpp
@@ -88,7 +88,7 @@
     if (Waiting == AtEntry.end())
       return;
     if (Action.Outcome == outcome::Answered)
-      onOutcome(Waiting->second, Action.Outcome, Action.Answer.Body, {});
+      onOutcome(Waiting->second, Action.Outcome, Action.Response.Body, {});
     if (Route.Seal)
       stepEntryNode(Route.Entry,
                     witness_responded{Route.EntryToken, Action.Outcome,
@@ -150,7 +150,7 @@
 void world::onOutcome(const std::shared_ptr<operation> &Operation,
                       outcome Outcome, const std::string &Content,
                       duration RetryAfter) {
-  Result.History.Told.push_back(
+  Result.History.Outcomes.push_back(
       {Now, Operation->Name, Operation->Key, Outcome, Content, true});
   const bool Final = Outcome == outcome::Answered ||
                      Outcome == outcome::NotRun || Operation->Tries >= 4;
--- a/Tests/Scheduler/world_gateways.cpp
+++ b/Tests/Scheduler/world_gateways.cpp
@@ -174,10 +174,10 @@
   send(nameOf(Number), To->Instance, false, [=, this] {
     onGateway(Receiver, To->Incarnation, [=, this] {
       const auto *Loan = std::get_if<loan_message>(&Message);
-      if (Options.Sabotage == sabotage::LoansTakenTwice && Loan)
+      if (Options.Sabotage == sabotage::LoansAppliedTwice && Loan)
         Gateways[static_cast<std::size_t>(Receiver)]
             .Node.Budget.LoansRequested.emplace(Loan->LoanId, Now);
-      if (Options.Sabotage == sabotage::LeavingIgnored &&
+      if (Options.Sabotage == sabotage::DrainingIgnored &&
           std::holds_alternative<draining_notice>(Message))
         return;
       stepNode(Receiver, peer_message_arrived{From, Message});
@@ -219,14 +219,14 @@
                     const std::string &Region) {
   const bool Late = Now >= Action.Deadline;
   if (Late || (has(fault::Shedding) && chance(30))) {
-    endExecution(Number, Incarnation, Action.Token, SIZE_MAX, target_end::Shed,
+    endExecution(Number, Incarnation, Action.Token, SIZE_MAX, attempt_end::Shed,
                  milliseconds(1));
     return;
   }
   duration Work = milliseconds(Long ? 500 + draw(900) : 5 + draw(40));
   if (Action.Target == Targets.back().Name)
     Work *= Options.SlowFactor;
-  const bool Lost = has(fault::LostAnswers) && chance(10);
+  const bool Lost = has(fault::LostResponses) && chance(10);
   // The backend server stops at the deadline that it received.
   const instant End = std::min(Now + Work, Action.Deadline);
   const bool CutShort = End < Now + Work;
@@ -239,28 +239,29 @@
   // The connection may break long before the execution ends.
   if (Lost)
     after(Work / 2, [=, this] {
-      endExecution(Number, Incarnation, Action.Token, Place, target_end::Broken,
-                   Work / 2);
+      endExecution(Number, Incarnation, Action.Token, Place,
+                   attempt_end::Interrupted, Work / 2);
     });
   else
     at(End, [=, this] {
       endExecution(Number, Incarnation, Action.Token, Place,
-                   CutShort ? target_end::Broken : target_end::Completed, Work);
+                   CutShort ? attempt_end::Interrupted : attempt_end::Completed,
+                   Work);
     });
 }
 
 void world::endExecution(int Number, std::int64_t Incarnation,
-                         std::uint64_t Token, std::size_t Place, target_end End,
-                         duration Took) {
+                         std::uint64_t Token, std::size_t Place,
+                         attempt_end End, duration Took) {
   attempt_ended Ended;
   Ended.Token = Token;
   Ended.End = End;
-  Ended.Took = Took;
+  Ended.Elapsed = Took;
   if (Place != SIZE_MAX) {
     const recorded_execution &Execution = Result.History.Executions[Place];
-    Ended.Answer = {200, "text/plain", Execution.Operation};
-    Ended.Leaving = Retired.contains(Execution.Target) &&
-                    Options.Sabotage != sabotage::LeavingIgnored;
+    Ended.Response = {200, "text/plain", Execution.Operation};
+    Ended.Draining = Retired.contains(Execution.Target) &&
+                     Options.Sabotage != sabotage::DrainingIgnored;
   }
   after(latency(), [=, this] {
     onGateway(Number, Incarnation, [=, this] { stepNode(Number, Ended); });
--- a/Tests/Scheduler/world_state.h
+++ b/Tests/Scheduler/world_state.h
@@ -98,7 +98,7 @@
                const send_to_target &Action, const std::string &Operation,
                const std::string &Key, bool Long, const std::string &Region);
   void endExecution(int Number, std::int64_t Incarnation, std::uint64_t Token,
-                    std::size_t Place, target_end End, duration Took);
+                    std::size_t Place, attempt_end End, duration Took);
 
   // Entries and callers.
   void stepEntryNode(int Number, const entry_event &Event);
--- a/Tests/Soak/deadly_request.cpp
+++ b/Tests/Soak/deadly_request.cpp
@@ -10,7 +10,7 @@
 static constexpr duration Pause = std::chrono::milliseconds(100);
 /// Time within which nodes synchronize their state.
 static constexpr duration Touch = std::chrono::seconds(4);
-static constexpr std::size_t CrashesAllowed = 3;
+static constexpr std::size_t CrashThreshold = 3;
 
 deadly_request::deadly_request(node_fleet &Fleet,
                                std::function<node_process &()> ChooseNode)
@@ -36,21 +36,21 @@
   std::erase_if(Calls,
                 [](const auto &Call) { return Call->response().IsCompleted; });
   Calls.push_back(call(ChooseNode()));
-  Timer = Fleet.Loop.after(Pause, [this] { send(); });
+  Timer = Fleet.Loop.runAfter(Pause, [this] { send(); });
 }
 
 void deadly_request::recordCrash() { Crashes.push_back(Fleet.Loop.now()); }
 
 std::size_t deadly_request::lateCrashes() const {
-  if (Crashes.size() < CrashesAllowed)
+  if (Crashes.size() < CrashThreshold)
     return 0;
-  const instant Known = Crashes[CrashesAllowed - 1] + Touch;
+  const instant Known = Crashes[CrashThreshold - 1] + Touch;
   return static_cast<std::size_t>(std::count_if(
       Crashes.begin(), Crashes.end(), [&](instant At) { return At > Known; }));
 }
 
 void deadly_request::checkAllRefuse(std::vector<std::string> &Broken) {
-  if (Crashes.size() < CrashesAllowed)
+  if (Crashes.size() < CrashThreshold)
     return;
   Fleet.runFor(Touch);
   for (auto &Node : Fleet.Nodes) {
--- a/Tests/Soak/link_proxy.cpp
+++ b/Tests/Soak/link_proxy.cpp
@@ -50,7 +50,7 @@
       pass(Piece);
     }
     if (!Held.empty() && mayPass(Held.front().IsToServer))
-      NextDelivery = Proxy.Loop.after(Held.front().Due - Now, [this] {
+      NextDelivery = Proxy.Loop.runAfter(Held.front().Due - Now, [this] {
         NextDelivery = 0;
         deliver();
       });
@@ -62,7 +62,7 @@
     bool IsToServer = false;
     instant Due{};
     std::string Bytes;
-    stream_end End = stream_end::Graceful;
+    disconnect_reason End = disconnect_reason::Graceful;
   };
 
   class side : public stream_owner {
@@ -73,7 +73,7 @@
     void onBytes(std::string_view Bytes) override {
       Owner.enqueue({IsToServer, {}, std::string(Bytes), {}});
     }
-    void onDisconnect(stream_end End) override {
+    void onDisconnect(disconnect_reason End) override {
       Owner.enqueue({IsToServer, {}, {}, End});
     }
 
@@ -102,7 +102,7 @@
       To.write(Piece.Bytes);
       return;
     }
-    if (Piece.End == stream_end::Graceful)
+    if (Piece.End == disconnect_reason::Graceful)
       To.shutdownWhenFlushed();
     else
       To.closeWithReset();
--- a/Tests/Soak/soak_caller.cpp
+++ b/Tests/Soak/soak_caller.cpp
@@ -22,8 +22,8 @@
 soak_caller::~soak_caller() { Loop.cancel(Timer); }
 
 void soak_caller::start() {
-  Timer = Loop.after(std::chrono::milliseconds(Random() % LongestPauseMs),
-                     [this] { send(); });
+  Timer = Loop.runAfter(std::chrono::milliseconds(Random() % LongestPauseMs),
+                        [this] { send(); });
 }
 
 void soak_caller::dropConnection() {
@@ -52,7 +52,7 @@
     }
   }
   const bool Disconnects = Random() % DisconnectsOneIn == 0;
-  Timer = Loop.after(Disconnects ? Deadline / 30 : CallerTimeout, [this] {
+  Timer = Loop.runAfter(Disconnects ? Deadline / 30 : CallerTimeout, [this] {
     Timer = 0;
     Attempts.back().Status = 0;
     dropConnection();
@@ -96,8 +96,8 @@
   Loop.cancel(Timer);
   Attempts.back().IsCompleted = true;
   Current = false;
-  Timer = Loop.after(std::chrono::milliseconds(Random() % LongestPauseMs),
-                     [this] { send(); });
+  Timer = Loop.runAfter(std::chrono::milliseconds(Random() % LongestPauseMs),
+                        [this] { send(); });
 }
 
 } // namespace amaranthhoist
--- a/Tests/Soak/soak_run.cpp
+++ b/Tests/Soak/soak_run.cpp
@@ -69,7 +69,7 @@
 void soak_run::restartAfterCrash(server &Server) {
   Deadly.recordCrash();
   Server.Link->goDown();
-  Fleet.Loop.after(DownTime, [this, &Server] {
+  Fleet.Loop.runAfter(DownTime, [this, &Server] {
     standIn(Server).shutDown();
     standIn(Server).listen();
     Server.Link->goDown();
@@ -113,11 +113,11 @@
   switch (Fault.Kind) {
   case fault_kind::Kill:
     Fleet.signal(Node, SIGKILL);
-    Fleet.Loop.after(Fault.For, [this, &Node] { restart(Node); });
+    Fleet.Loop.runAfter(Fault.For, [this, &Node] { restart(Node); });
     return;
   case fault_kind::Pause:
     Fleet.signal(Node, SIGSTOP);
-    Fleet.Loop.after(Fault.For, [this, &Node] {
+    Fleet.Loop.runAfter(Fault.For, [this, &Node] {
       if (!Fleet.hasExited(Node))
         Fleet.signal(Node, SIGCONT);
     });
@@ -140,7 +140,7 @@
   }
   if (Fault.Kind == fault_kind::StoreAway) {
     Store.shutDown();
-    Fleet.Loop.after(Fault.For, [&Store] {
+    Fleet.Loop.runAfter(Fault.For, [&Store] {
       Store.shutDown();
       Store.listen();
     });
@@ -148,13 +148,13 @@
   }
   Store.setMode(Fault.Kind == fault_kind::StoreSilent ? mode::Silent
                                                       : mode::Refusing);
-  Fleet.Loop.after(Fault.For, [&Store] { Store.setMode(mode::Serving); });
+  Fleet.Loop.runAfter(Fault.For, [&Store] { Store.setMode(mode::Serving); });
 }
 
 static void disturb(event_loop &Loop, link_proxy &Link, link_mode Mode,
                     duration For) {
   Link.setMode(Mode);
-  Loop.after(For, [&Link] { Link.setMode(link_mode::Sound); });
+  Loop.runAfter(For, [&Link] { Link.setMode(link_mode::Sound); });
 }
 
 void soak_run::beginAtStoreLink(const fault &Fault) {
@@ -200,13 +200,13 @@
     break;
   default:
     Target.shutDown();
-    Fleet.Loop.after(Fault.For, [&Target] {
+    Fleet.Loop.runAfter(Fault.For, [&Target] {
       Target.shutDown();
       Target.listen();
     });
     return;
   }
-  Fleet.Loop.after(Fault.For, [&Target] {
+  Fleet.Loop.runAfter(Fault.For, [&Target] {
     Target.Behavior = behavior::Normal;
     Target.Work = std::chrono::milliseconds(20);
   });
@@ -233,7 +233,7 @@
   Drained.push_back(Id);
   Fleet.listTarget(standIn(Server), Server.Domain, "draining",
                    Server.Link->address());
-  Fleet.Loop.after(For, [this, Id] { Fleet.Store.remove("servers", Id); });
+  Fleet.Loop.runAfter(For, [this, Id] { Fleet.Store.remove("servers", Id); });
 }
 
 void soak_run::beginChange(const fault &Fault) {
@@ -250,7 +250,7 @@
     return;
   }
   Fleet.Store.put("evacuations", Server.Domain, nlohmann::json::object());
-  Fleet.Loop.after(Fault.For, [this, Domain = Server.Domain] {
+  Fleet.Loop.runAfter(Fault.For, [this, Domain = Server.Domain] {
     if (Fleet.Store.has("evacuations", Domain))
       Fleet.Store.remove("evacuations", Domain);
   });
@@ -259,9 +259,9 @@
 void soak_run::beginBackoff(target_stand_in &Target, duration For) {
   Target.Behavior = behavior::Sheds;
   Target.RetryAfterSeconds = cat(static_cast<double>(For.count()) / 1e6);
-  Fleet.Loop.after(RestBegins, [this, &Target, For] {
+  Fleet.Loop.runAfter(RestBegins, [this, &Target, For] {
     const int Before = Target.BackoffRequests;
-    Fleet.Loop.after(
+    Fleet.Loop.runAfter(
         std::max(duration::zero(), For - RestBegins), [this, &Target, Before] {
           RequestsDuringBackoff.push_back(Target.BackoffRequests - Before);
           Target.Behavior = behavior::Normal;
@@ -286,7 +286,7 @@
     return;
   Drained.push_back(Server.Id);
   standIn(Server).AnnouncesDraining = true;
-  Fleet.Loop.after(
+  Fleet.Loop.runAfter(
       Fault.For, [this, Id = Server.Id] { Fleet.Store.remove("servers", Id); });
 }
 
@@ -365,7 +365,7 @@
     Caller->start();
   Result.Faults = makeSchedule(Random(), Limits);
   for (const fault &Fault : Result.Faults)
-    Fleet.Loop.after(Fault.At, [this, Fault] { begin(Fault); });
+    Fleet.Loop.runAfter(Fault.At, [this, Fault] { begin(Fault); });
   duration Last = Limits.Length;
   for (const fault &Fault : Result.Faults)
     Last = std::max(Last, Fault.At + Fault.For);
--- a/Tests/fleet_start.cpp
+++ b/Tests/fleet_start.cpp
@@ -147,7 +147,7 @@
   const instance &Instance = Instances[Index];
   if (Instance.ReceivedAt)
     return;
-  if (mayAskStore(Instance.Bootstrap, Now))
+  if (mayListStore(Instance.Bootstrap, Now))
     listStore(Index);
   else
     runAt(Instance.Bootstrap.ListStoreAt,
@@ -224,7 +224,7 @@
                                  const std::vector<std::string> &Referrals) {
   instance &Instance = Instances[Requester];
   Instance.*IsBusy = false;
-  if (!mayAskStore(Instance.Bootstrap, Now))
+  if (!mayListStore(Instance.Bootstrap, Now))
     postponeStoreList(Instance.Bootstrap, Now);
   for (const std::string &Referral : Referrals)
     addSource(Instance.Bootstrap, Referral);
@@ -262,7 +262,7 @@
   std::size_t Notified = 0;
   for (const std::string &Name : membersToNotify(Listed, FromStore)) {
     const std::string &Control = Listed.Members.at(Name).Control;
-    runAfter(timeToHandOut(Instance.Throttle, Notified++, Bytes),
+    runAfter(snapshotSendTime(Instance.Throttle, Notified++, Bytes),
              [this, Index, Control] { announce(Index, Control); });
   }
 }
--- a/Tests/fleet_test.cpp
+++ b/Tests/fleet_test.cpp
@@ -31,7 +31,7 @@
 void markDown(fleet &Fleet, const std::string &Name) {
   membership_message Message;
   Message.Kind = membership_message::kind::Ack;
-  Message.Beliefs.push_back({Name, member_status::Down, 9});
+  Message.Updates.push_back({Name, member_status::Down, 9});
   handleMembershipMessage(Fleet.Membership, "n1", Message, instant());
 }
 
@@ -108,12 +108,12 @@
   LONGS_EQUAL(2, Watchers.size());
   CHECK_EQUAL(std::string("n2"), Watchers[0]->Name);
   CHECK_EQUAL(std::string("n3"), Watchers[1]->Name);
-  CHECK(ownRole(Fleet) != spread_role::Watcher);
+  CHECK(ownRole(Fleet) != distribution_role::Watcher);
   // The loss of a watcher promotes another instance.
   markDown(Fleet, "n3");
   markDown(Fleet, "n2");
   LONGS_EQUAL(2, watchers(Fleet).size());
-  CHECK(ownRole(Fleet) == spread_role::Watcher);
+  CHECK(ownRole(Fleet) == distribution_role::Watcher);
 }
 
 // Guards against all nodes of a region handling requests by a configuration
--- a/Tests/gateway_test.cpp
+++ b/Tests/gateway_test.cpp
@@ -80,7 +80,7 @@
 
   /// Ends all sent requests with \p End, including those that are sent in
   /// response.
-  void endAll(target_end End, instant Now) {
+  void endAll(attempt_end End, instant Now) {
     while (!Sent.empty()) {
       const send_to_target Send = Sent.back();
       Sent.pop_back();
@@ -89,7 +89,7 @@
   }
 
   /// Sends requests until each server is quarantined.
-  void failServers(target_end End, instant Now) {
+  void failServers(attempt_end End, instant Now) {
     constexpr int Enough = 20;
     for (int Number = 0; Number < Enough; ++Number) {
       arrive(work_class::Idempotent, Now);
@@ -116,7 +116,7 @@
 // ("attempts": 3, "took_us": 1511384).
 TEST(Gateway, RequestsAreRefusedImmediatelyWhenAllServersAreDown) {
   Gateway.serve(100);
-  Gateway.failServers(target_end::NotReached, Start);
+  Gateway.failServers(attempt_end::NotReached, Start);
   const instant Later = Start + milliseconds(100);
   const auto Enquiry = Gateway.arrive(work_class::Idempotent, Later);
   const auto Hold = Gateway.arrive(work_class::NonIdempotent, Later);
@@ -137,7 +137,7 @@
   Tokens.reserve(Waiting);
   while (Tokens.size() < Waiting)
     Tokens.push_back(Gateway.arrive(work_class::Idempotent, Start));
-  Gateway.endAll(target_end::NotReached, Start);
+  Gateway.endAll(attempt_end::NotReached, Start);
   for (const std::uint64_t Token : Tokens)
     CHECK(Gateway.Finished.contains(Token));
 }
@@ -146,14 +146,14 @@
 // shows the slot for that request.
 TEST(Gateway, RecoveredServersAreDetectedByTrialRequest) {
   Gateway.serve(100);
-  Gateway.failServers(target_end::NotReached, Start);
+  Gateway.failServers(attempt_end::NotReached, Start);
   const instant Later = Start + seconds(1);
   const offer Offer = makeOffer(Gateway.Node, Service, Later);
   CHECK(!Offer.Suspect);
   LONGS_EQUAL(2, Offer.FreeUnits);
   const auto Trial = Gateway.arrive(work_class::Idempotent, Later);
   LONGS_EQUAL(1, Gateway.Sent.size());
-  Gateway.endAll(target_end::Completed, Later);
+  Gateway.endAll(attempt_end::Completed, Later);
   CHECK(Gateway.Finished[Trial].Outcome == outcome::Answered);
   LONGS_EQUAL(4, makeOffer(Gateway.Node, Service, Later).FreeUnits);
 }
@@ -162,25 +162,25 @@
 // trial request and are refused only when that has failed too.
 TEST(Gateway, RequestsWaitDuringFirstQuarantine) {
   Gateway.serve(100);
-  Gateway.failServers(target_end::Shed, Start);
+  Gateway.failServers(attempt_end::Shed, Start);
   const auto Waiting = Gateway.arrive(work_class::Idempotent, Start);
   CHECK(!Gateway.Finished.contains(Waiting));
   const instant Later = Start + seconds(1);
   Gateway.step(clock_tick{}, Later);
   // One trial request for each server.
   LONGS_EQUAL(2, Gateway.Sent.size());
-  Gateway.endAll(target_end::Completed, Later);
+  Gateway.endAll(attempt_end::Completed, Later);
   CHECK(Gateway.Finished[Waiting].Outcome == outcome::Answered);
 }
 
 TEST(Gateway, FailedTrialRequestEndsWait) {
   Gateway.serve(100);
-  Gateway.failServers(target_end::Shed, Start);
+  Gateway.failServers(attempt_end::Shed, Start);
   const auto Waiting = Gateway.arrive(work_class::Idempotent, Start);
   const instant Later = Start + seconds(1);
   Gateway.step(clock_tick{}, Later);
   LONGS_EQUAL(2, Gateway.Sent.size());
-  Gateway.endAll(target_end::Shed, Later);
+  Gateway.endAll(attempt_end::Shed, Later);
   CHECK(Gateway.Finished.contains(Waiting));
   CHECK(Gateway.Finished[Waiting].Outcome == outcome::Refused);
 }
--- a/Tests/golden_test.cpp
+++ b/Tests/golden_test.cpp
@@ -35,11 +35,12 @@
             " at " + Execution.Target + " from " + Execution.SourceRegion +
             " for " +
             std::to_string((Execution.End - Execution.Start).count()) + " us");
-  for (const reported_outcome &Told : Result.History.Told)
+  for (const reported_outcome &Reported : Result.History.Outcomes)
     Lines.emplace_back(
-        microseconds(Told.At),
-        "told " + Told.Operation + " " + std::string(toString(Told.Outcome)) +
-            (Told.ContentOf.empty() ? "" : " with " + Told.ContentOf));
+        microseconds(Reported.At),
+        "told " + Reported.Operation + " " +
+            std::string(toString(Reported.Outcome)) +
+            (Reported.ContentOf.empty() ? "" : " with " + Reported.ContentOf));
   std::sort(Lines.begin(), Lines.end());
   std::string Text;
   for (const auto &[At, Line] : Lines)
@@ -73,7 +74,7 @@
   Options.Length = std::chrono::seconds(2);
   Options.Callers = 10;
   Options.LongPercent = 1;
-  Options.Faults = {fault::KillGateway, fault::LostAnswers};
+  Options.Faults = {fault::KillGateway, fault::LostResponses};
   compareWithGolden("mandap-ghar.txt", Options);
 }
 
--- a/Tests/history_test.cpp
+++ b/Tests/history_test.cpp
@@ -23,8 +23,8 @@
   History.Sites["site"] = {50'000, 30'000, {{"region", 2}}};
   History.TargetSlots["target"] = 2;
   History.Executions = {runOf(1, 2, "a", "key-a"), runOf(1, 3, "b", "")};
-  History.Told = {{at(2), "a", "key-a", outcome::Answered, "a", true},
-                  {at(3), "b", "", outcome::Answered, "b", true}};
+  History.Outcomes = {{at(2), "a", "key-a", outcome::Answered, "a", true},
+                      {at(3), "b", "", outcome::Answered, "b", true}};
   History.Accepted = {{at(1), "contract/c", 7}};
   History.Effective = {{at(2), "node", "contract/c", 7}};
   History.Nodes = {"node"};
@@ -75,19 +75,19 @@
 
 TEST(History, DetectsResponseOfAnotherOperation) {
   history History = cleanHistory();
-  History.Told[0].ContentOf = "b";
+  History.Outcomes[0].ContentOf = "b";
   CHECK(hasViolation(History, promise::WholeAnswer));
 }
 
 TEST(History, DetectsPartialResponseReportedAsComplete) {
   history History = cleanHistory();
-  History.Told[0].Whole = false;
+  History.Outcomes[0].Whole = false;
   CHECK(hasViolation(History, promise::WholeAnswer));
 }
 
 TEST(History, DetectsExecutionReportedAsNotRun) {
   history History = cleanHistory();
-  History.Told[0].Outcome = outcome::NotRun;
+  History.Outcomes[0].Outcome = outcome::NotRun;
   CHECK(hasViolation(History, promise::NotRun));
 }
 
--- a/Tests/parts_test.cpp
+++ b/Tests/parts_test.cpp
@@ -189,7 +189,7 @@
 TEST(Parts, ColdTargetAcceptsFewerRequests) {
   target_state Target;
   Target.Slots = 8;
-  Target.Since = Now;
+  Target.AvailableSince = Now;
   Target.InFlight = 2;
   CHECK(!acceptsWork(Target, {}, Now));
   CHECK(acceptsWork(Target, {}, Now + seconds(3)));
--- a/Tests/promises_test.cpp
+++ b/Tests/promises_test.cpp
@@ -81,7 +81,7 @@
   expectPromisesHold({fault::LostWrites});
 }
 TEST(Promises, HoldWhenResponsesAreLost) {
-  expectPromisesHold({fault::LostAnswers});
+  expectPromisesHold({fault::LostResponses});
 }
 TEST(Promises, HoldWhenBackendServersShed) {
   expectPromisesHold({fault::Shedding});
@@ -89,7 +89,7 @@
 TEST(Promises, HoldDuringSurge) { expectPromisesHold({fault::Surge}); }
 TEST(Promises, HoldWhileSiteDrains) { expectPromisesHold({fault::DrainSite}); }
 TEST(Promises, HoldWhenTargetDrains) {
-  expectPromisesHold({fault::TargetLeaves});
+  expectPromisesHold({fault::TargetDrains});
 }
 
 // Pairs of faults.
@@ -104,7 +104,7 @@
   expectPromisesHold({fault::KillGateway, fault::Surge});
 }
 TEST(Promises, HoldWhenGatewayFreezesAndResponsesAreLost) {
-  expectPromisesHold({fault::FreezeGateway, fault::LostAnswers});
+  expectPromisesHold({fault::FreezeGateway, fault::LostResponses});
 }
 TEST(Promises, HoldWhenGatewayFreezesDuringSurge) {
   expectPromisesHold({fault::FreezeGateway, fault::Surge});
@@ -125,7 +125,7 @@
   expectPromisesHold({fault::DrainSite, fault::PlatformOutage});
 }
 TEST(Promises, HoldWhenTargetDrainsAndGatewayFreezes) {
-  expectPromisesHold({fault::TargetLeaves, fault::FreezeGateway});
+  expectPromisesHold({fault::TargetDrains, fault::FreezeGateway});
 }
 TEST(Promises, HoldWhenEntriesCannotReachGatewayAndItsMessagesAreLost) {
   expectPromisesHold({fault::CutEntries, fault::CutOneWay});
@@ -138,7 +138,7 @@
   CHECK(isCaught(sabotage::NoWitness, {fault::FreezeGateway}, promise::NotRun));
 }
 TEST(Promises, CheckerDetectsExceededLimitWhenUnconfirmedWorkIsReleased) {
-  CHECK(isCaught(sabotage::NoLingering, {fault::LostAnswers, fault::Surge},
+  CHECK(isCaught(sabotage::NoLingering, {fault::LostResponses, fault::Surge},
                  promise::Region));
 }
 TEST(Promises, CheckerDetectsExceededPowerWithUnconditionalWrites) {
@@ -146,7 +146,7 @@
                  {fault::KillTwoGateways, fault::Surge}, promise::Power));
 }
 TEST(Promises, CheckerDetectsExceededLimitWhenLoansAreAcceptedTwice) {
-  CHECK(isCaught(sabotage::LoansTakenTwice, {fault::Surge}, promise::Region));
+  CHECK(isCaught(sabotage::LoansAppliedTwice, {fault::Surge}, promise::Region));
 }
 TEST(Promises, CheckerDetectsSecondExecutionWhenKeysAreRemoved) {
   CHECK(isCaught(sabotage::ForgottenKeys, {fault::CutEntries},
@@ -158,7 +158,7 @@
                  promise::Region));
 }
 TEST(Promises, CheckerDetectsNewWorkWhenDrainingIsIgnored) {
-  CHECK(isCaught(sabotage::LeavingIgnored, {fault::TargetLeaves},
+  CHECK(isCaught(sabotage::DrainingIgnored, {fault::TargetDrains},
                  promise::LeavingTarget));
 }
 TEST(Promises, CheckerDetectsCancelledWorkWhenDrainCancels) {
--- a/Tests/steering_test.cpp
+++ b/Tests/steering_test.cpp
@@ -74,7 +74,7 @@
   for (work_class Class : {work_class::Idempotent, work_class::NonIdempotent}) {
     steering Steering = makeSteering(4, Class);
     request_plan Plan = plan(Steering);
-    Plan.Arrivals = 1;
+    Plan.DeliveredAttempts = 1;
     Plan.MayHaveRun = true;
     CHECK_EQUAL(Class == work_class::Idempotent,
                 mayRetry(Steering, Plan, instant()));
@@ -86,7 +86,7 @@
 TEST(Steering, LimitsAttemptsToRouteMaximum) {
   steering Steering = makeSteering(6, work_class::Idempotent, 2);
   request_plan Plan = plan(Steering);
-  Plan.Arrivals = 2;
+  Plan.DeliveredAttempts = 2;
   CHECK_FALSE(mayRetry(Steering, Plan, instant()));
 }
 
@@ -130,7 +130,7 @@
   for (int Sent = 0; Sent < 200; ++Sent) {
     auto Chosen = chooseTarget(Steering, Plan, instant());
     if (!Chosen) {
-      CHECK(Chosen.error() == refusal::NoRoom);
+      CHECK(Chosen.error() == refusal::Overloaded);
       ++Refused;
       continue;
     }
@@ -182,7 +182,7 @@
   const request_plan Plan = plan(Steering);
   std::set<std::int64_t> Times;
   for (int Caller = 0; Caller < 200; ++Caller) {
-    const duration Time = retryAfter(Steering, Plan, refusal::NoRoom,
+    const duration Time = retryAfter(Steering, Plan, refusal::Overloaded,
                                      "id-" + std::to_string(Caller), instant());
     CHECK(Time >= milliseconds(250));
     CHECK(Time <= milliseconds(667));
@@ -275,7 +275,7 @@
     POINTERS_EQUAL(&First, chooseTarget(Steering, Plan, instant()).value());
     recordAttemptStart(First, instant());
   }
-  CHECK(chooseTarget(Steering, Plan, instant()).error() == refusal::NoRoom);
+  CHECK(chooseTarget(Steering, Plan, instant()).error() == refusal::Overloaded);
 }
 
 // Guards against sending a request whose content crashes servers,
--- a/Tests/store_test.cpp
+++ b/Tests/store_test.cpp
@@ -39,9 +39,9 @@
 TEST(Store, WatchStartsAtRevisionOfFirstPage) {
   list_watch Watch;
   POINTERS_EQUAL(nullptr,
-                 handlePage(Watch, {{{"a", 3, "{}"}}, /*HasMore=*/true, 10}));
+                 applyPage(Watch, {{{"a", 3, "{}"}}, /*HasMore=*/true, 10}));
   CHECK_EQUAL(std::string("a"), nextRequest(Watch).After);
-  const auto *All = handlePage(Watch, {{{"b", 4, "{}"}}, false, 12});
+  const auto *All = applyPage(Watch, {{{"b", 4, "{}"}}, false, 12});
   LONGS_EQUAL(2, All->size());
   CHECK(nextRequest(Watch).Verb == store_verb::Watch);
   LONGS_EQUAL(10, nextRequest(Watch).Revision);
@@ -49,7 +49,7 @@
 
 TEST(Store, ExpiredHistoryCausesList) {
   list_watch Watch;
-  handlePage(Watch, {{}, false, 10});
+  applyPage(Watch, {{}, false, 10});
   CHECK(handleFailure(Watch, store_failure::HistoryExpired) ==
         duration::zero());
   CHECK(nextRequest(Watch).Verb == store_verb::List);
@@ -62,24 +62,24 @@
 // resuming from the revision.
 TEST(Store, MissingResponseCausesList) {
   list_watch Watch;
-  handlePage(Watch, {{}, false, 10});
-  handleFailure(Watch, store_failure::Silent);
+  applyPage(Watch, {{}, false, 10});
+  handleFailure(Watch, store_failure::NoResponse);
   CHECK(nextRequest(Watch).Verb == store_verb::List);
-  handlePage(Watch, {{}, false, 12});
+  applyPage(Watch, {{}, false, 12});
   handleFailure(Watch, store_failure::Refused);
   CHECK(nextRequest(Watch).Verb == store_verb::Watch);
 }
 
 TEST(Store, RetriesBackOffExponentially) {
   list_watch Watch;
-  const duration First = handleFailure(Watch, store_failure::Silent);
+  const duration First = handleFailure(Watch, store_failure::NoResponse);
   duration Last = First;
   for (int Failure = 0; Failure < 20; ++Failure)
     Last = handleFailure(Watch, store_failure::Refused);
   CHECK(First == Watch.Delays.InitialRetryDelay);
   CHECK(Last == Watch.Delays.MaxRetryDelay);
-  CHECK(handleBatch(Watch, {}) == duration::zero());
-  CHECK(handleFailure(Watch, store_failure::Silent) == First);
+  CHECK(applyBatch(Watch, {}) == duration::zero());
+  CHECK(handleFailure(Watch, store_failure::NoResponse) == First);
 }
 
 // Guards against the use of a server that was removed: a node gets the removal,
@@ -153,13 +153,13 @@
 TEST(Store, ChangesAreEncodedAndDecoded) {
   cache_changes Original;
   Original.Age = std::chrono::milliseconds(120);
-  Original.ListIsSure = false;
+  Original.ListIsComplete = false;
   Original.Kinds.push_back(
       changes(7, true, {makeChange("a", 3), makeChange("b", 7, true)}));
   const auto Decoded = decodeChanges(encodeChanges(Original));
   CHECK(Decoded.has_value());
   CHECK(Decoded->Age == Original.Age);
-  CHECK_FALSE(Decoded->ListIsSure);
+  CHECK_FALSE(Decoded->ListIsComplete);
   LONGS_EQUAL(1, Decoded->Kinds.size());
   LONGS_EQUAL(7, Decoded->Kinds[0].AtRevision);
   CHECK(Decoded->Kinds[0].Changes[1].IsDeleted);
@@ -171,11 +171,11 @@
   peer_datagram Datagram;
   Datagram.Sender = "node-1";
   Datagram.Message.Subject = "node-2";
-  Datagram.Message.Beliefs.push_back({"node-3", member_status::Suspect, 4});
+  Datagram.Message.Updates.push_back({"node-3", member_status::Suspect, 4});
   const std::string Valid = encodeDatagram(Datagram);
   const auto Decoded = decodeDatagram(Valid);
   CHECK(Decoded.has_value());
-  CHECK_EQUAL(std::string("node-3"), Decoded->Message.Beliefs[0].Name);
+  CHECK_EQUAL(std::string("node-3"), Decoded->Message.Updates[0].Name);
   for (int Round = 0; Round < 5'000; ++Round) {
     std::string Bytes = Valid;
     for (int Change = 0; Change < 3; ++Change)
--- a/Utilities/Capacity/measure_state.cpp
+++ b/Utilities/Capacity/measure_state.cpp
@@ -165,7 +165,7 @@
     Work.Deadline = Now.Now + std::chrono::seconds(1);
     stepGateway(Node, request_arrived{Work}, Now);
     stepGateway(Node,
-                attempt_ended{Work.Token, target_end::Completed,
+                attempt_ended{Work.Token, attempt_end::Completed,
                               std::chrono::milliseconds(5)},
                 Now);
   });
--- a/Utilities/PolicyBench/main.cpp
+++ b/Utilities/PolicyBench/main.cpp
@@ -49,18 +49,18 @@
   const instant EarlyEnd = SteadyBegin + std::chrono::milliseconds(500);
   const instant LateBegin = End - std::chrono::seconds(3);
   Row.Seconds += secondsOf(End - SteadyBegin);
-  for (const reported_outcome &Told : Result.History.Told) {
-    Row.Keyed += Told.Key.empty() ? 0 : 1;
-    Row.Unknown += Told.Outcome == outcome::Unknown ? 1 : 0;
-    Row.Refused += Told.Outcome == outcome::Refused ? 1 : 0;
-    if (Told.Outcome != outcome::Answered || Told.At < SteadyBegin ||
-        Told.At > End)
+  for (const reported_outcome &Reported : Result.History.Outcomes) {
+    Row.Keyed += Reported.Key.empty() ? 0 : 1;
+    Row.Unknown += Reported.Outcome == outcome::Unknown ? 1 : 0;
+    Row.Refused += Reported.Outcome == outcome::Refused ? 1 : 0;
+    if (Reported.Outcome != outcome::Answered || Reported.At < SteadyBegin ||
+        Reported.At > End)
       continue;
     ++Row.Answered;
-    Row.Before += Told.At < EarlyEnd ? 1 / 0.5 / Seeds : 0;
-    Row.After += Told.At > LateBegin ? 1 / 3.0 / Seeds : 0;
+    Row.Before += Reported.At < EarlyEnd ? 1 / 0.5 / Seeds : 0;
+    Row.After += Reported.At > LateBegin ? 1 / 3.0 / Seeds : 0;
     Row.WaitMs.push_back(
-        secondsOf(Told.At - Result.Started.at(Told.Operation)) * 1'000);
+        secondsOf(Reported.At - Result.Started.at(Reported.Operation)) * 1'000);
   }
   for (const recorded_execution &Execution : Result.History.Executions) {
     const instant From = std::max(Execution.Start, SteadyBegin);
@@ -123,7 +123,7 @@
       {"entries lose a gateway", {fault::CutEntries}},
       {"platform away", {fault::PlatformOutage}},
       {"killed, platform away", {fault::KillGateway, fault::PlatformOutage}},
-      {"answers lost", {fault::LostAnswers}},
+      {"answers lost", {fault::LostResponses}},
       {"shedding", {fault::Shedding}}};
   char Title[80];
   std::snprintf(Title, sizeof(Title), "load %.1f of capacity", Factor);
