--- a/Services/Node/store_connection.cpp
+++ b/Services/Node/store_connection.cpp
@@ -49,7 +49,7 @@
     append(Text, "Content-Type: application/json\r\nContent-Length: ",
            CallBody.size(), "\r\n");
   append(Text, "\r\n", CallBody);
-  Connection->call(*this, Text, /*IsHead=*/false);
+  Connection->call(*this, Text, /*IsHeadRequest=*/false);
 }
 
 void store_connection::startTimer() {
--- a/Tests/NodeProcesses/node_fleet.cpp
+++ b/Tests/NodeProcesses/node_fleet.cpp
@@ -29,7 +29,7 @@
     Response.IsCompleted = true;
     return;
   }
-  Connection.call(*this, Request, /*IsHead=*/false);
+  Connection.call(*this, Request, /*IsHeadRequest=*/false);
 }
 
 bool caller_call::onHead(const message_head &Head) {
--- a/Tests/Soak/soak_caller.cpp
+++ b/Tests/Soak/soak_caller.cpp
@@ -66,7 +66,7 @@
           "\r\nX-Deadline-Remaining: ", Deadline.count() / 1'000,
           Attempt.IsIdempotent ? "\r\n\r\n"
                                : "\r\nContent-Length: 4\r\n\r\nbody"),
-      /*IsHead=*/false);
+      /*IsHeadRequest=*/false);
 }
 
 bool soak_caller::onHead(const message_head &Head) {
